--- a/packages/jobs/src/place/placer.ts
+++ b/packages/jobs/src/place/placer.ts
@@ -9,15 +9,15 @@
 import type {Step} from "../types/job.js"
 import type {ExecutorLink} from "../link/executor-link.js"
 import {createJudgement} from "./judgement.js"
-import {createLosses} from "../link/losses.js"
-import type {PlacerDeps, PlacerState, RunningAt} from "./placer-state.js"
+import {createLossDetector} from "../link/loss-detector.js"
+import type {PlacerDeps, PlacerState, RunLocation} from "./placer-state.js"
 import {closeLinks, setExecutors} from "./placer-links.js"
 import {startPulse} from "./pulse.js"
 import {loadOf, type PlacerLoad} from "../decide/load.js"
 import {countThatFit, hasPromising, roomFor, usableLinks, waitBeforeMs} from "../decide/room.js"
 import type {OnTaskEnd, TaskHandle, TaskRequest} from "./run.js"
 import {adopt, giveAll, giveExecutors, giveUp, isSettled} from "./succession.js"
-import {createTaskQueue, type Waiting} from "./task-queue.js"
+import {createTaskQueue, type WaitingTask} from "./task-queue.js"
 import {createTickets} from "./tickets.js"
 import {walkSoon} from "./walk.js"
 
@@ -39,9 +39,9 @@
 	/** Whether any executor is, or will soon be, usable. */
 	canServe(): boolean
 	/** Whether it has only just begun, and no executor has answered yet. */
-	isBeginning(): boolean
+	isStartingUp(): boolean
 	/** Whether every executor obeys this placer, or has certainly ended what the one before started. */
-	isSettled(): boolean
+	hasTakenOver(): boolean
 	/**
 	 * How long a task with this latest useful start will wait at the pace of the estimates, in
 	 * milliseconds; Infinity without an executor that is or will soon be usable.
@@ -58,7 +58,7 @@
 	/** Offers what executors have listed so far to the kept jobs, which are known from now on. */
 	offerOrphans(): void
 	/** Tries the queue again soon: room may have appeared elsewhere. */
-	walk(): void
+	placeWaiting(): void
 	/** Nothing further may start here from now on, or it may again. */
 	noteEvacuation(): void
 	/** Takes over a run that the placer before had on an executor. */
@@ -71,17 +71,17 @@
 	 * Gives everything to a successor, which has raised the fence already: `send` takes what waits, and
 	 * what runs with the executor that has it. What is submitted later goes there too.
 	 */
-	giveAll(send: (item: Waiting, from?: RunningAt) => void): void
+	handOverAll(send: (item: WaitingTask, from?: RunLocation) => void): void
 	/**
 	 * Gives some of its executors to another placer, which has raised the fence there: what runs there goes along. Returns
 	 * how many they were.
 	 */
-	giveExecutors(
+	handOverExecutors(
 		isGiven: (record: ExecutorRecord) => boolean,
-		send: (item: Waiting, from: RunningAt) => void,
+		send: (item: WaitingTask, from: RunLocation) => void,
 	): number
 	/** As `close`, when somebody else places now: tells those that handed tasks over as soon as it is certain that they run no more. */
-	giveUp(): void
+	relinquish(): void
 	/** Starts nothing more here; what runs is left to the next fence. */
 	close(): void
 }
@@ -99,7 +99,7 @@
 		queue: createTaskQueue(),
 		links: new Map(),
 		judgement: createJudgement(deps),
-		losses: createLosses(deps.clock),
+		losses: createLossDetector(deps.clock),
 		tickets: createTickets({...deps, onTickets: () => walkSoon(state)}),
 		pulse: startPulse(deps.clock),
 		runCounts: new Map(),
@@ -117,8 +117,8 @@
 		room: () => roomFor(state.links, state.queue, state.judgement),
 		counts: () => countsOf(state),
 		canServe: () => hasPromising(state.links),
-		isBeginning: () => isBeginning(state),
-		isSettled: () => isSettled(state),
+		isStartingUp: () => isBeginning(state),
+		hasTakenOver: () => isSettled(state),
 		expectedWaitMs: startBy =>
 			waitBeforeMs(state.links, state.queue, state.judgement.speeds, startBy, deps.clock.now()),
 		load: () => loadOf(state.links, state.started.keys(), state.judgement),
@@ -128,7 +128,7 @@
 		offerOrphans() {
 			for (const link of state.links.values()) if (!link.isClosed()) link.offerOrphans()
 		},
-		walk() {
+		placeWaiting() {
 			if (state.queue.size() > 0) walkSoon(state)
 		},
 		noteEvacuation() {
@@ -136,9 +136,9 @@
 			walkSoon(state)
 		},
 		adopt: (req, from, onEnd) => adopt(state, req, from, onEnd),
-		giveAll: send => giveAll(state, send),
-		giveExecutors: (isGiven, send) => giveExecutors(state, isGiven, send),
-		giveUp: () => giveUp(state),
+		handOverAll: send => giveAll(state, send),
+		handOverExecutors: (isGiven, send) => giveExecutors(state, isGiven, send),
+		relinquish: () => giveUp(state),
 		close: () => closeLinks(state),
 	}
 }
@@ -155,7 +155,7 @@
 	const {clock} = state.deps
 	let stop: (() => void) | undefined
 	let isCancelled = false
-	const item: Waiting = {
+	const item: WaitingTask = {
 		req,
 		since: clock.now(),
 		onEnd,
@@ -190,7 +190,7 @@
 	for (const item of state.queue.all()) if (item.req.isForeign) giveBack(state, item, "evacuated")
 }
 
-function giveBack({queue}: PlacerState, item: Waiting, cause: string) {
+function giveBack({queue}: PlacerState, item: WaitingTask, cause: string) {
 	if (queue.remove(item)) item.onEnd({type: "returned", cause})
 }
 
--- a/packages/jobs/src/place/run.ts
+++ b/packages/jobs/src/place/run.ts
@@ -58,8 +58,8 @@
 }
 
 /** Resolves when an end may be forgotten by its executor; undefined: at once. */
-export type TaskEnded = Promise<unknown> | undefined | void
-export type OnTaskEnd = (end: TaskEnd) => TaskEnded
+export type EndRecorded = Promise<unknown> | undefined | void
+export type OnTaskEnd = (end: TaskEnd) => EndRecorded
 
 /** A task that a placer was asked to run. */
 export interface TaskHandle {
@@ -101,15 +101,15 @@
 	 */
 	listedFrom: number | undefined
 	/** A start order for it has stayed without an answer, and none was answered since. */
-	hasSilentStart: boolean
+	hasUnansweredStart: boolean
 	/** A start order may have been carried out. */
-	mayHaveBegun: boolean
+	mayHaveStarted: boolean
 	/** Why it is being stopped; undefined while nobody wants that. */
 	stopCause: StopCause | undefined
 	percent: number
 	/** When `percent` last rose. */
 	progressAt: number
 	/** When it was last known to run. */
-	seenAt: number
+	lastSeenAt: number
 	readonly onEnd: OnTaskEnd
 }
--- a/packages/jobs/src/place/succession.ts
+++ b/packages/jobs/src/place/succession.ts
@@ -3,13 +3,13 @@
  * the placer before had.
  */
 import type {ExecutorRecord} from "../types/executor.js"
-import {lifeOf} from "../utils/log.js"
+import {shortSession} from "../utils/log.js"
 import type {ExecutorLink} from "../link/executor-link.js"
 import {certainEndAt} from "../decide/lease-rule.js"
 import {addLink, closeLinks} from "./placer-links.js"
-import type {PlacerState, RunningAt} from "./placer-state.js"
+import type {PlacerState, RunLocation} from "./placer-state.js"
 import type {OnTaskEnd, Run, TaskHandle, TaskRequest} from "./run.js"
-import type {Waiting} from "./task-queue.js"
+import type {WaitingTask} from "./task-queue.js"
 
 /**
  * For executors that nobody here can ask, since the list does not name them: the leases that the placer before asked for
@@ -22,7 +22,7 @@
 export function adopt(
 	state: PlacerState,
 	req: TaskRequest,
-	{executor, record, isStarted, stopCause}: RunningAt,
+	{executor, record, isStarted, stopCause}: RunLocation,
 	onEnd: OnTaskEnd,
 ): TaskHandle {
 	const known = state.links.get(executor)
@@ -30,7 +30,7 @@
 	const link = known && !known.isClosed() ? known : record && addUnlisted(state, record)
 	if (!link) return presumeEnded(state, req, executor, onEnd)
 	let stop = () => undefined as void
-	const item: Waiting = {
+	const item: WaitingTask = {
 		req,
 		since: state.deps.clock.now(),
 		onEnd,
@@ -75,7 +75,7 @@
 	executor: string,
 	onEnd: OnTaskEnd,
 ): TaskHandle {
-	const whose = {fence: deps.fence, askedBy: lifeOf(askedBy)}
+	const whose = {fence: deps.fence, askedBy: shortSession(askedBy)}
 	const fields = {job, task, run, executor, ...whose, outcome: "executor unknown"}
 	deps.log.alarm("placer", "run_adopted", "placer: took over a run of the placer before.", fields)
 	const cause = "its executor is unknown here"
@@ -85,7 +85,7 @@
 }
 
 /** Gives everything to a successor, which has raised the fence already. */
-export function giveAll(state: PlacerState, send: (item: Waiting, from?: RunningAt) => void) {
+export function giveAll(state: PlacerState, send: (item: WaitingTask, from?: RunLocation) => void) {
 	state.successor = send
 	// Kept jobs are not sent: the successor reads them from the store, and finds their runs by itself.
 	for (const group of state.queue.inOrder(state.deps.clock.now()))
@@ -104,7 +104,7 @@
 export function giveExecutors(
 	state: PlacerState,
 	isGiven: (record: ExecutorRecord) => boolean,
-	send: (item: Waiting, from: RunningAt) => void,
+	send: (item: WaitingTask, from: RunLocation) => void,
 ): number {
 	const given = [...state.links.values()].filter(({record}) => isGiven(record))
 	const running = given.flatMap(runsOf)
--- a/packages/jobs/src/place/task-queue.ts
+++ b/packages/jobs/src/place/task-queue.ts
@@ -11,7 +11,7 @@
 	return task.slice(0, task.lastIndexOf("."))
 }
 
-export interface Waiting {
+export interface WaitingTask {
 	readonly req: TaskRequest
 	readonly since: number
 	readonly onEnd: OnTaskEnd
@@ -22,21 +22,21 @@
 export interface Group {
 	readonly key: string
 	readonly startBy: number
-	readonly waiting: Waiting[]
+	readonly waiting: WaitingTask[]
 	readonly uselessAt: number
 	/** Whether tasks of its job have started already. */
 	isBegun: boolean
 }
 
 export interface TaskQueue {
-	push(item: Waiting): void
+	push(item: WaitingTask): void
 	/** Whether it was waiting here. */
-	remove(item: Waiting): boolean
+	remove(item: WaitingTask): boolean
 	/** Groups in the order in which they should start. */
 	inOrder(now: number): readonly Group[]
 	/** Takes the first of a group out of the queue. */
-	take(group: Group): Waiting | undefined
-	all(): readonly Waiting[]
+	take(group: Group): WaitingTask | undefined
+	all(): readonly WaitingTask[]
 	size(): number
 	/** Thousandths of a core that the smallest task asks for; Infinity while nothing waits. */
 	leastCpu(): number
@@ -44,7 +44,7 @@
 	work(): number
 	/** Core-milliseconds that go before a task with this latest useful start. */
 	workBefore(startBy: number, now: number): number
-	expired(now: number): readonly Waiting[]
+	expired(now: number): readonly WaitingTask[]
 }
 
 const workOf = ({need, estimateMs}: TaskRequest) => (need.cpu / 1_000) * estimateMs
@@ -82,7 +82,7 @@
 	let size = 0
 	let work = 0
 
-	function forget(item: Waiting) {
+	function forget(item: WaitingTask) {
 		size--
 		work -= workOf(item.req)
 	}
@@ -135,7 +135,7 @@
 			return before
 		},
 		expired(now) {
-			const gone: Waiting[] = []
+			const gone: WaitingTask[] = []
 			for (const group of groups.values())
 				for (const item of group.waiting) if (item.req.deadlineAt <= now) gone.push(item)
 			return gone
--- a/packages/jobs/src/place/walk.ts
+++ b/packages/jobs/src/place/walk.ts
@@ -1,13 +1,13 @@
 /**
  * Walks a placer's queue in order and starts what finds room, here or at another domain's placer.
  */
-import {lifeOf} from "../utils/log.js"
+import {shortSession} from "../utils/log.js"
 import type {ExecutorLink} from "../link/executor-link.js"
 import {chooseGang, wouldFitEmpty} from "./gang.js"
 import type {Links, PlacerState} from "./placer-state.js"
 import type {TaskRequest} from "./run.js"
 import {chooseExecutor} from "../decide/selection.js"
-import {stepNameOf, type Group, type Waiting} from "./task-queue.js"
+import {stepNameOf, type Group, type WaitingTask} from "./task-queue.js"
 
 /** Groups that are tried in one walk; what stands further behind finds no room either as a rule. */
 const MAX_GROUPS_PER_WALK = 24
@@ -146,7 +146,7 @@
 	return undefined
 }
 
-function startOn(state: PlacerState, link: ExecutorLink, item: Waiting) {
+function startOn(state: PlacerState, link: ExecutorLink, item: WaitingTask) {
 	const {clock, metrics, log, fence} = state.deps
 	const {job, task, run: number, need, estimateMs} = item.req
 	const waitedMs = clock.now() - item.since
@@ -160,11 +160,11 @@
 		run: number,
 		executor,
 		fence,
-		askedBy: lifeOf(item.req.askedBy),
+		askedBy: shortSession(item.req.askedBy),
 		freeCpu: link.freeCpu(),
 		needCpu: need.cpu,
 		estimateMs,
-		slowness: Math.round(100 * state.judgement.speeds.factorOf(executor)) / 100,
+		slowness: Math.round(100 * state.judgement.speeds.expectedSlowness(executor)) / 100,
 		waitedMs: Math.round(waitedMs),
 		waitingTasks: state.queue.size(),
 	}))
--- a/packages/jobs/src/types/executor.ts
+++ b/packages/jobs/src/types/executor.ts
@@ -63,7 +63,7 @@
 	readonly how: RunEndKind
 }
 
-export interface RunningRow {
+export interface RunningTask {
 	readonly task: string
 	readonly run: number
 	/** How much of its work is done, 0 to 100. */
@@ -82,7 +82,7 @@
 export type HoldReply = Reply<{
 	readonly type: "held"
 	readonly clockMs: number
-	readonly running: readonly RunningRow[]
+	readonly running: readonly RunningTask[]
 	readonly ends: readonly RunEnd[]
 }>
 
--- a/packages/jobs/src/types/fleet.ts
+++ b/packages/jobs/src/types/fleet.ts
@@ -35,13 +35,13 @@
 }
 
 /** The failure domains that operators are emptying, as of a revision of the store. */
-export interface EvacuationNews {
+export interface EvacuationSnapshot {
 	readonly revision: number
 	readonly failureDomains: readonly string[]
 }
 
 /** What instances tell each other; each answer to a beat is a beat of the other side. */
-export interface Beat {
+export interface Heartbeat {
 	readonly from: Member
 	/** Claims that the sender knows; in a beat between instances only those that the reader may lack. */
 	readonly claims: readonly Claim[]
@@ -54,14 +54,14 @@
 	readonly lateMs?: number
 	readonly configVersion: number
 	/** Absent while the sender has never known of any. */
-	readonly evacuations?: EvacuationNews
+	readonly evacuations?: EvacuationSnapshot
 }
 
 /** The highest fence that somebody knows of each failure domain. */
 export type Fences = Readonly<Record<string, number>>
 
 /** What a placer tells others between two beats, when its room has changed. */
-export interface RoomNews {
+export interface RoomUpdate {
 	/** The placer's. */
 	readonly session: string
 	/** The room of the failure domains that it places, by name. */
--- a/packages/jobs/src/types/kept-job.ts
+++ b/packages/jobs/src/types/kept-job.ts
@@ -56,5 +56,5 @@
 /** Not below the fleet's own prefix, which every instance follows. */
 export const OPEN_JOBS_PREFIX = "job/open/"
 export const ENDED_JOBS_PREFIX = "job/end/"
-export const openKey = (id: string) => OPEN_JOBS_PREFIX + id
-export const endKey = (id: string) => ENDED_JOBS_PREFIX + id
+export const openJobKey = (id: string) => OPEN_JOBS_PREFIX + id
+export const endedJobKey = (id: string) => ENDED_JOBS_PREFIX + id
--- a/packages/jobs/src/types/placing.ts
+++ b/packages/jobs/src/types/placing.ts
@@ -21,7 +21,7 @@
 }
 
 /** Everything that can be switched on is off. */
-export const PLAIN_PLACING: PlacingSettings = Object.freeze({
+export const DEFAULT_PLACING: PlacingSettings = Object.freeze({
 	speeds: "learnt",
 	admission: "backlog",
 	domainChoice: "own",
--- a/packages/jobs/src/utils/log.ts
+++ b/packages/jobs/src/utils/log.ts
@@ -99,9 +99,9 @@
 const LIFE_SIGNS = 8
 
 /** How lines name one life of an instance. */
-export function lifeOf(session: string): string
-export function lifeOf(session: string | undefined): string | undefined
-export function lifeOf(session: string | undefined): string | undefined {
+export function shortSession(session: string): string
+export function shortSession(session: string | undefined): string | undefined
+export function shortSession(session: string | undefined): string | undefined {
 	return session?.slice(0, LIFE_SIGNS)
 }
 
--- a/packages/jobs/test/admission-hosts.test.ts
+++ b/packages/jobs/test/admission-hosts.test.ts
@@ -3,7 +3,12 @@
  * instance takes the domain over.
  */
 import {createJobMetrics, silentLog, type Claim, type Job, type JobEnd} from "@cottonwood/jobs"
-import {createHosts, type Host, type JobMove, type Keeper} from "@cottonwood/jobs/internals"
+import {
+	createHostedPlacers,
+	type HostedPlacer,
+	type JobMove,
+	type Keeper,
+} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 import {FakeFleet, record} from "./support/fake-executors.js"
@@ -24,7 +29,7 @@
 		close: () => undefined,
 		jobCount: () => 0,
 	} as unknown as Keeper
-	const hosts = createHosts({
+	const hosts = createHostedPlacers({
 		clock,
 		orders: new FakeFleet(clock),
 		advisor: NO_ADVISOR,
@@ -38,7 +43,7 @@
 		createKeeper: () => keeper,
 		isEvacuated: () => false,
 		executorsOf: () => [record("a1")],
-		forecasting: isForecasting ? {lentCores: () => 0, queues: () => [QUEUE]} : undefined,
+		forecasting: isForecasting ? {borrowableCores: () => 0, queues: () => [QUEUE]} : undefined,
 	})
 	let serial = 0
 	/** A job that fills the executor. */
@@ -52,7 +57,10 @@
 			receivedAt: clock.now(),
 			deadlineAt: clock.now() + 5_000,
 		}
-		return hosts.run(hosts.of("a") as Host, job, QUEUE, {...STAYING, confirmedAt: clock.now})
+		return hosts.run(hosts.of("a") as HostedPlacer, job, QUEUE, {
+			...STAYING,
+			confirmedAt: clock.now,
+		})
 	}
 	return {clock, hosts, run}
 }
--- a/packages/jobs/test/admission.test.ts
+++ b/packages/jobs/test/admission.test.ts
@@ -3,80 +3,80 @@
  */
 import {createJobMetrics, silentLog, type Job, type JobEnd, type Queue} from "@cottonwood/jobs"
 import {
-	chooseToPushOut,
-	correct,
+	chooseJobToEvict,
+	updateCorrection,
 	createAdmission,
 	drainMs,
 	duesOf,
 	forecastOf,
-	judgeArrival,
-	lentCoresOf,
+	decideAdmission,
+	borrowableCoresOf,
 	retryAfterMsOf,
 	sharesOf,
 	startJobRun,
-	type Asked,
+	type AdmissionInput,
 	type FleetView,
 	type JobRun,
 	type PlacerLoad,
 	type TaskRequest,
-	type Work,
+	type QueueWork,
 } from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 import {QUEUE} from "./support/requests.js"
 
-const EVEN = {servedRatio: 0.9, dueRatio: 0.9, lead: 0}
-const asked: Asked = {
+const EVEN = {servedRatio: 0.9, dueRatio: 0.9, excess: 0}
+const asked: AdmissionInput = {
 	forecast: {startInMs: 20, endInMs: 120},
 	backlogMs: 10,
 	slackMs: 100,
 	usefulMs: 600,
 	share: EVEN,
-	askedOfRoom: 1.2,
+	requestedRatio: 1.2,
 	lateBacklogMs: 0,
 }
 const HOPELESS = {startInMs: 300, endInMs: 400}
 
 describe("the judgement of an arrival", () => {
 	it("takes what can be in time behind a short backlog", () => {
-		expect(judgeArrival(asked)).to.eql({type: "admitted"})
+		expect(decideAdmission(asked)).to.eql({type: "admitted"})
 	})
 
 	it("bounds the backlog by how the queue stands to its share", () => {
 		// The same backlog: too long for a queue that has had more than its due, and fine for one that has had less.
 		const backlogMs = 50
-		const above = judgeArrival({...asked, backlogMs, share: {...EVEN, lead: 0.05}})
-		const below = judgeArrival({...asked, backlogMs, share: {...EVEN, lead: -0.05}})
+		const above = decideAdmission({...asked, backlogMs, share: {...EVEN, excess: 0.05}})
+		const below = decideAdmission({...asked, backlogMs, share: {...EVEN, excess: -0.05}})
 		expect(above).to.deep.include({type: "refused", reason: "backlog"})
 		expect(below).to.eql({type: "admitted"})
 	})
 
 	it("refuses what cannot be in time while all the room is asked for", () => {
-		const verdict = judgeArrival({...asked, forecast: HOPELESS})
+		const verdict = decideAdmission({...asked, forecast: HOPELESS})
 		expect(verdict).to.deep.include({type: "refused", reason: "not_in_time"})
 	})
 
 	it("takes it as late once the room is forecast to carry it, and no more of it than that", () => {
-		const later = {...asked, forecast: HOPELESS, askedOfRoom: 0.3}
-		expect(judgeArrival(later)).to.eql({type: "late"})
-		expect(judgeArrival({...later, lateBacklogMs: 500}).type).to.equal("refused")
-		expect(judgeArrival({...later, usefulMs: 200}).type).to.equal("refused")
+		const later = {...asked, forecast: HOPELESS, requestedRatio: 0.3}
+		expect(decideAdmission(later)).to.eql({type: "late"})
+		expect(decideAdmission({...later, lateBacklogMs: 500}).type).to.equal("refused")
+		expect(decideAdmission({...later, usefulMs: 200}).type).to.equal("refused")
 	})
 
 	it("says that no executor is there rather than that there is load", () => {
 		const forecast = {startInMs: Infinity, endInMs: Infinity}
-		const verdict = judgeArrival({...asked, forecast, backlogMs: Infinity})
+		const verdict = decideAdmission({...asked, forecast, backlogMs: Infinity})
 		expect(verdict).to.deep.include({type: "refused", reason: "no_executor"})
 	})
 })
 
 describe("the forecast", () => {
-	const load: PlacerLoad = {soundCores: 100, freeCores: 10, freedCoresPerMs: 1}
-	const standing = {load, workBefore: 0, lentCores: 0, correction: 1}
+	const load: PlacerLoad = {healthyCores: 100, freeCores: 10, freedCoresPerMs: 1}
+	const standing = {load, workBefore: 0, borrowableCores: 0, correction: 1}
 
 	it("is none for what fits, here or with what others lend", () => {
 		expect(forecastOf({cores: 10, chainMs: 50}, standing).startInMs).to.equal(0)
-		const lent = {...standing, lentCores: 20}
+		const lent = {...standing, borrowableCores: 20}
 		expect(forecastOf({cores: 30, chainMs: 50}, lent)).to.eql({startInMs: 0, endInMs: 50})
 	})
 
@@ -87,7 +87,7 @@
 	})
 
 	it("knows no start without an executor", () => {
-		const none = {...standing, load: {soundCores: 0, freeCores: 0, freedCoresPerMs: 0}}
+		const none = {...standing, load: {healthyCores: 0, freeCores: 0, freedCoresPerMs: 0}}
 		expect(forecastOf({cores: 1, chainMs: 50}, none).startInMs).to.equal(Infinity)
 		expect(drainMs(0, none.load)).to.equal(Infinity)
 	})
@@ -95,17 +95,20 @@
 	/* Executors turn slow, and every forecast is a third of what comes. It learns that within some hundred jobs, and unlearns it. */
 	it("is corrected by what came, within bounds", () => {
 		let correction = 1
-		for (let job = 0; job < 200; job++) correction = correct(correction, 60 * correction, 180)
+		for (let job = 0; job < 200; job++)
+			correction = updateCorrection(correction, 60 * correction, 180)
 		expect(correction).to.be.within(2.5, 3.5)
-		for (let job = 0; job < 200; job++) correction = correct(correction, 60 * correction, 1e9)
+		for (let job = 0; job < 200; job++)
+			correction = updateCorrection(correction, 60 * correction, 1e9)
 		expect(correction).to.be.at.most(4)
-		for (let job = 0; job < 500; job++) correction = correct(correction, 60 * correction, 0)
+		for (let job = 0; job < 500; job++)
+			correction = updateCorrection(correction, 60 * correction, 0)
 		expect(correction).to.be.within(0.5, 0.6)
 	})
 
 	it("is left as it is by a wait that nobody knows", () => {
-		expect(correct(1.5, Infinity, 10)).to.equal(1.5)
-		expect(correct(1.5, 10, NaN)).to.equal(1.5)
+		expect(updateCorrection(1.5, Infinity, 10)).to.equal(1.5)
+		expect(updateCorrection(1.5, 10, NaN)).to.equal(1.5)
 	})
 
 	/* Other instances may tell anything; a room of NaN or below 0 lends nothing. */
@@ -116,9 +119,9 @@
 			isLeaving: () => false,
 			roomOf: () => ({at: 0, room: {freeCpu: [NaN, -5_000, 4_000]}}),
 		} as unknown as FleetView
-		const self = {session: "a-s"} as Parameters<typeof lentCoresOf>[1]
-		expect(lentCoresOf(view, self, 100)).to.equal(4)
-		expect(lentCoresOf(view, self, 900)).to.equal(0)
+		const self = {session: "a-s"} as Parameters<typeof borrowableCoresOf>[1]
+		expect(borrowableCoresOf(view, self, 100)).to.equal(4)
+		expect(borrowableCoresOf(view, self, 900)).to.equal(0)
 	})
 })
 
@@ -147,23 +150,23 @@
 	})
 
 	it("fade, so that an old crest does not count against a queue", () => {
-		const work = new Map<string, Work>([
-			["a", {asked: 100, served: 100, at: 0}],
-			["b", {asked: 100, served: 20, at: 0}],
+		const work = new Map<string, QueueWork>([
+			["a", {requested: 100, served: 100, at: 0}],
+			["b", {requested: 100, served: 20, at: 0}],
 		])
 		const rules = [{name: "a"}, {name: "b"}]
-		expect(sharesOf(rules, work, 0).get("a")?.lead).to.be.closeTo(0.4, 0.001)
-		work.set("a", {asked: 100, served: 60, at: 10_000})
-		expect(sharesOf(rules, work, 10_000).get("a")?.lead).to.be.lessThan(0.01)
+		expect(sharesOf(rules, work, 0).get("a")?.excess).to.be.closeTo(0.4, 0.001)
+		work.set("a", {requested: 100, served: 60, at: 10_000})
+		expect(sharesOf(rules, work, 10_000).get("a")?.excess).to.be.lessThan(0.01)
 	})
 })
 
 describe("a newcomer", () => {
-	const newcomer = {slackMs: 50, work: 10, share: {...EVEN, lead: -0.1}}
-	const waiting = {slackMs: 400, work: 40, share: {...EVEN, lead: 0.1}}
+	const newcomer = {slackMs: 50, work: 10, share: {...EVEN, excess: -0.1}}
+	const waiting = {slackMs: 400, work: 40, share: {...EVEN, excess: 0.1}}
 
 	it("goes in the place of less urgent work of a queue that has had more than its due", () => {
-		expect(chooseToPushOut(newcomer, [waiting])).to.equal(waiting)
+		expect(chooseJobToEvict(newcomer, [waiting])).to.equal(waiting)
 	})
 
 	it("pushes out nothing more urgent, nothing smaller, and nothing that stands alike", () => {
@@ -172,7 +175,7 @@
 			{...waiting, work: 5},
 			{...waiting, share: newcomer.share},
 		]
-		expect(chooseToPushOut(newcomer, others)).to.equal(undefined)
+		expect(chooseJobToEvict(newcomer, others)).to.equal(undefined)
 	})
 })
 
@@ -195,7 +198,7 @@
 /** A placer whose figures a test sets, and the tasks that were submitted to it. */
 function createWorld() {
 	const clock = createFakeClock()
-	const load = {soundCores: 100, freeCores: 0, freedCoresPerMs: 1}
+	const load = {healthyCores: 100, freeCores: 0, freedCoresPerMs: 1}
 	const figures = {load, work: 0, isBeginning: false}
 	const admission = createAdmission({
 		clock,
@@ -205,10 +208,10 @@
 			load: () => figures.load,
 			work: () => figures.work,
 			workBefore: () => figures.work,
-			isBeginning: () => figures.isBeginning,
+			isStartingUp: () => figures.isBeginning,
 			hasRoomFor: () => false,
 		},
-		lentCores: () => 0,
+		borrowableCores: () => 0,
 		queues: () => [{name: "orders"}, {name: "bulk"}],
 	})
 	const submitted: TaskRequest[] = []
@@ -263,11 +266,11 @@
 		const world = createWorld()
 		const {clock, figures, admission} = world
 		const job = world.jobOf(QUEUE, 100)
-		expect(admission.judge(job, QUEUE)).to.equal("in time")
+		expect(admission.assess(job, QUEUE)).to.equal("in time")
 		const run = world.follow(job, QUEUE, false)
 		await clock.advance(30)
 		expect(await endOf(run)).to.equal("open")
-		figures.load = {soundCores: 10, freeCores: 0, freedCoresPerMs: 0.1}
+		figures.load = {healthyCores: 10, freeCores: 0, freedCoresPerMs: 0.1}
 		figures.work = 8_000
 		await clock.advance(50)
 		const end = await run.ended
@@ -283,9 +286,9 @@
 		const world = createWorld()
 		const {clock, figures, admission} = world
 		figures.isBeginning = true
-		figures.load = {soundCores: 0, freeCores: 0, freedCoresPerMs: 0}
+		figures.load = {healthyCores: 0, freeCores: 0, freedCoresPerMs: 0}
 		const job = world.jobOf(QUEUE, 100)
-		expect(admission.judge(job, QUEUE)).to.equal("in time")
+		expect(admission.assess(job, QUEUE)).to.equal("in time")
 		const run = world.follow(job, QUEUE, false)
 		await clock.advance(100)
 		expect(await endOf(run)).to.equal("open")
@@ -315,14 +318,14 @@
 	it("lets an urgent newcomer push out waiting work of a queue above its share", async () => {
 		const world = createWorld()
 		const {admission, figures} = world
-		figures.load = {...figures.load, soundCores: 1}
+		figures.load = {...figures.load, healthyCores: 1}
 		const long = world.jobOf(BULK, 900)
-		expect(admission.judge(long, BULK)).to.equal("in time")
+		expect(admission.assess(long, BULK)).to.equal("in time")
 		const run = world.follow(long, BULK, false)
 		figures.work = 200
 		for (let at = 0; at < 5; at++) {
 			await world.clock.advance(11)
-			const verdict = admission.judge(world.jobOf(QUEUE, 100), QUEUE)
+			const verdict = admission.assess(world.jobOf(QUEUE, 100), QUEUE)
 			if (verdict === "in time") break
 		}
 		expect(await endOf(run)).to.deep.include({type: "refused"})
--- a/packages/jobs/test/after-a-loss.test.ts
+++ b/packages/jobs/test/after-a-loss.test.ts
@@ -6,7 +6,7 @@
 	createDispatcher,
 	createFleetView,
 	createOwnClaims,
-	type Hosts,
+	type HostedPlacers,
 	type JobReply,
 } from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -46,7 +46,7 @@
 		hosts: {
 			of: (domain: string) => (domain === "a" ? hosted.of : undefined),
 			run: () => Promise.resolve({type: "completed"}),
-		} as unknown as Hosts,
+		} as unknown as HostedPlacers,
 		config: () => undefined,
 		refreshConfig: () => undefined,
 		isLeaving: () => false,
@@ -83,13 +83,13 @@
 		const {clock, view, asked, hosted, dispatch} = createWorld(self, () => ({type: "not placer"}))
 		view.noteClaim({failureDomain: "a", fence: 1, placer: member("a-1", 1)})
 		view.noteClaim({failureDomain: "b", fence: 1, placer: member("b-1", 1, "b")})
-		view.takeListing([nodeItem(self), nodeItem(member("b-1", 2, "b"))])
+		view.applyListing([nodeItem(self), nodeItem(member("b-1", 2, "b"))])
 		const ended = dispatch(500)
 		await clock.advance(120)
 		expect(ended.type).to.equal(undefined)
 		expect(asked).to.eql([])
 		view.noteClaim({failureDomain: "a", fence: 2, placer: self})
-		hosted.of = {placer: {canServe: () => false, isBeginning: () => true}}
+		hosted.of = {placer: {canServe: () => false, isStartingUp: () => true}}
 		await clock.advance(20)
 		expect(ended.type).to.equal("completed")
 	})
@@ -196,7 +196,7 @@
 		placer.setExecutors(["e1", "e2", "e3", "e4"].map(id => record(id)))
 		await clock.advance(20)
 		expect(placer.counts().usable).to.equal(1)
-		expect(placer.isBeginning()).to.equal(false)
+		expect(placer.isStartingUp()).to.equal(false)
 		for (let at = 0; at < 10; at++)
 			placer.submit(
 				taskRequest(`j${at}.0.0.0`),
--- a/packages/jobs/test/beats.test.ts
+++ b/packages/jobs/test/beats.test.ts
@@ -1,13 +1,13 @@
 /**
  * Telling other placers of room: soon when it comes or goes, and without working it out at each change.
  */
-import type {Beat, Claim, Member} from "@cottonwood/jobs"
+import type {Heartbeat, Claim, Member} from "@cottonwood/jobs"
 import {
-	createBeats,
+	createHeartbeats,
 	createFleetView,
-	type BeatMessage,
+	type HeartbeatDatagram,
 	type FleetDatagram,
-	type RoomMessage,
+	type RoomDatagram,
 } from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
@@ -35,13 +35,13 @@
 		workedOut++
 		return {a: {freeCpu, totalCpu: 64_000, waitingWork: 0, labels: []}}
 	}
-	const beats = createBeats({
+	const beats = createHeartbeats({
 		clock,
 		view,
 		self,
 		peers: fakePeers(),
 		send: (_address, message) => void sent.push(message),
-		own: (): Beat => ({
+		ownHeartbeat: (): Heartbeat => ({
 			from: self,
 			claims: view.claims(),
 			rooms: rooms(),
@@ -49,7 +49,7 @@
 			configVersion: 1,
 		}),
 		rooms,
-		onBeat: () => undefined,
+		onHeartbeat: () => undefined,
 		onRoomNews: () => undefined,
 		needsOthers: () => false,
 		linkMbps,
@@ -60,8 +60,8 @@
 		self,
 		other,
 		/** News of room that was told between beats. */
-		told: () => sent.filter((one): one is RoomMessage => one.type === "room"),
-		beatsSent: () => sent.filter((one): one is BeatMessage => one.type === "beat"),
+		told: () => sent.filter((one): one is RoomDatagram => one.type === "room"),
+		beatsSent: () => sent.filter((one): one is HeartbeatDatagram => one.type === "beat"),
 		bytesSent: () => sent.reduce((sum, one) => sum + JSON.stringify(one).length, 0),
 		setRoom(room: number[]) {
 			freeCpu = room
@@ -115,7 +115,10 @@
 })
 
 describe("bytes of beats", () => {
-	const beatOfOther = (other: Member, fences: Readonly<Record<string, number>>): BeatMessage => ({
+	const beatOfOther = (
+		other: Member,
+		fences: Readonly<Record<string, number>>,
+	): HeartbeatDatagram => ({
 		type: "beat",
 		from: other,
 		claims: [],
@@ -128,31 +131,31 @@
 
 	it("describes only those claims that the reader has not told that it knows", () => {
 		const world = createWorld()
-		world.beats.take(beatOfOther(world.other, {b: 1}))
+		world.beats.receive(beatOfOther(world.other, {b: 1}))
 		expect(
 			world
 				.beatsSent()
 				.at(-1)
 				?.claims.map(({failureDomain}) => failureDomain),
 		).to.eql(["a"])
-		world.beats.take(beatOfOther(world.other, {a: 1, b: 1}))
+		world.beats.receive(beatOfOther(world.other, {a: 1, b: 1}))
 		expect(world.beatsSent().at(-1)).to.deep.include({claims: [], fences: {a: 1, b: 1}})
 	})
 
 	it("remembers so many sessions, and describes all claims to one that it has forgotten", async () => {
 		const world = createWorld()
-		world.beats.take(beatOfOther(world.other, {a: 1, b: 1}))
+		world.beats.receive(beatOfOther(world.other, {a: 1, b: 1}))
 		await world.clock.advance(200)
 		expect(world.beatsSent().at(-1)?.claims).to.eql([])
 		for (let at = 0; at < 1_000; at++)
-			world.beats.take(beatOfOther({...world.other, session: `s${at}`}, {a: 1, b: 1}))
+			world.beats.receive(beatOfOther({...world.other, session: `s${at}`}, {a: 1, b: 1}))
 		await world.clock.advance(200)
 		expect(world.beatsSent().at(-1)?.claims).to.have.length(2)
 	})
 
 	it("describes a claim again until the reader tells its fence, whatever was lost", () => {
 		const world = createWorld()
-		for (let lost = 0; lost < 3; lost++) world.beats.take(beatOfOther(world.other, {b: 1}))
+		for (let lost = 0; lost < 3; lost++) world.beats.receive(beatOfOther(world.other, {b: 1}))
 		const described = world.beatsSent().slice(-3)
 		for (const {claims} of described) expect(claims).to.have.length(1)
 	})
@@ -164,7 +167,7 @@
 	 */
 	it("take no more than a small share of a narrow link, however often room changes", async () => {
 		const world = createWorld(2)
-		world.beats.take(beatOfOther(world.other, {a: 1, b: 1}))
+		world.beats.receive(beatOfOther(world.other, {a: 1, b: 1}))
 		const before = world.bytesSent()
 		const seconds = 4
 		for (let at = 0; at < seconds * 200; at++) {
--- a/packages/jobs/test/caller-deadline.test.ts
+++ b/packages/jobs/test/caller-deadline.test.ts
@@ -27,7 +27,7 @@
 	const view = createFleetView(clock, () => undefined)
 	view.noteClaim(claim)
 	const beat = {claims: [claim], rooms: {}, isLeaving: false, configVersion: 1}
-	view.takeBeat({...beat, from: placer})
+	view.applyHeartbeat({...beat, from: placer})
 	const sent: {readonly message: JobMessage; readonly confirmedAt: () => number}[] = []
 	const dispatcher = createDispatcher({
 		clock,
--- a/packages/jobs/test/confirmed-callers.test.ts
+++ b/packages/jobs/test/confirmed-callers.test.ts
@@ -40,7 +40,7 @@
 	const view = createFleetView(clock, ignore)
 	view.noteClaim(claim)
 	const room = {freeCpu: [54_000], totalCpu: 64_000, waitingWork: 0, labels: []}
-	view.takeBeat({
+	view.applyHeartbeat({
 		from: other,
 		claims: [claim],
 		rooms: {b: room},
--- a/packages/jobs/test/confirmed-leases.test.ts
+++ b/packages/jobs/test/confirmed-leases.test.ts
@@ -6,7 +6,7 @@
 	createExecutorClock,
 	type Placer,
 	type PlacerDeps,
-	type RunningAt,
+	type RunLocation,
 	type TaskEnd,
 	type TaskRequest,
 } from "@cottonwood/jobs/internals"
@@ -41,7 +41,7 @@
 
 	/** Gives some runs on; nobody tells of the others. */
 	function give(from: Placer, to: Placer, tasks: readonly string[]) {
-		from.giveAll(({req}, runsAt?: RunningAt) => {
+		from.handOverAll(({req}, runsAt?: RunLocation) => {
 			if (!runsAt || !tasks.includes(req.task)) return
 			to.adopt(req, runsAt, end => void ends.push({...end, task: req.task}))
 		})
@@ -137,19 +137,22 @@
 	it("is read as low as it may be, and takes no reading that says less than is known", () => {
 		const executorClock = createExecutorClock(LEASE_RULE)
 		executorClock.observe(10_000, 0)
-		expect(executorClock.lowest(1_000)).to.equal(10_980)
+		expect(executorClock.lowestReading(1_000)).to.equal(10_980)
 		executorClock.observe(10_970, 1_000)
-		expect(executorClock.lowest(1_000)).to.equal(10_980)
+		expect(executorClock.lowestReading(1_000)).to.equal(10_980)
 		executorClock.observe(10_990, 1_000)
-		expect(executorClock.lowest(1_000)).to.equal(10_990)
+		expect(executorClock.lowestReading(1_000)).to.equal(10_990)
 	})
 
 	it("tells the latest end of all leases asked for, at the slowest rate and with the time that an end takes", () => {
 		const executorClock = createExecutorClock(LEASE_RULE)
 		executorClock.observe(10_000, 0)
-		executorClock.extend(10_980)
-		executorClock.extend(10_490)
+		executorClock.noteLease(10_980)
+		executorClock.noteLease(10_490)
 		expect(executorClock.leasesEndAt(0)).to.be.closeTo(1_060, 0.001)
-		expect([executorClock.hasLapsed(1_059), executorClock.hasLapsed(1_061)]).to.eql([false, true])
+		expect([executorClock.haveLeasesEnded(1_059), executorClock.haveLeasesEnded(1_061)]).to.eql([
+			false,
+			true,
+		])
 	})
 })
--- a/packages/jobs/test/confirmed-runs.test.ts
+++ b/packages/jobs/test/confirmed-runs.test.ts
@@ -106,7 +106,7 @@
 		await run(first, NEIGHBOUR)
 		const second = place(8, {orphansWaitMs: 2_000})
 		await clock.advance(20)
-		first.giveAll(({req}, runsAt) => {
+		first.handOverAll(({req}, runsAt) => {
 			if (runsAt && req.task === NEIGHBOUR) second.adopt(req, runsAt, ignore)
 		})
 		await clock.advance(LEASE_RULE.longestEndMs)
--- a/packages/jobs/test/counted-rooms.test.ts
+++ b/packages/jobs/test/counted-rooms.test.ts
@@ -2,7 +2,7 @@
  * Told room, counted down by what was sent there since.
  */
 import type {Claim, Member} from "@cottonwood/jobs"
-import {createCountedRooms, createFleetView} from "@cottonwood/jobs/internals"
+import {createRoomEstimates, createFleetView} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 
@@ -18,12 +18,12 @@
 	}
 	const claim: Claim = {failureDomain: "b", fence: 1, placer}
 	view.noteClaim(claim)
-	const rooms = createCountedRooms(clock, view, countsInFlight)
+	const rooms = createRoomEstimates(clock, view, countsInFlight)
 	const tell = () => {
 		const room = {freeCpu: [16_000, 8_000], totalCpu: 64_000, waitingWork: 0}
-		view.takeRoomNews({session: "b-s", rooms: {b: room}})
+		view.applyRoomUpdate({session: "b-s", rooms: {b: room}})
 	}
-	const send = () => rooms.countDown("b", {tasks: 2, cpu: 8_000, work: 100})
+	const send = () => rooms.deduct("b", {tasks: 2, cpu: 8_000, work: 100})
 	return {clock, rooms, tell, send}
 }
 
--- a/packages/jobs/test/cut-off-placer.test.ts
+++ b/packages/jobs/test/cut-off-placer.test.ts
@@ -46,8 +46,8 @@
 			knowsAllExecutors: false,
 		})
 		successor.setExecutors([record("e1"), record("e2")])
-		for (let ms = 0; ms < 5_000 && !successor.isSettled(); ms += 50) await clock.advance(50)
-		if (successor.isSettled()) successor.submit(keptRequest(10_001), ignore, ignore)
+		for (let ms = 0; ms < 5_000 && !successor.hasTakenOver(); ms += 50) await clock.advance(50)
+		if (successor.hasTakenOver()) successor.submit(keptRequest(10_001), ignore, ignore)
 		await clock.advance(1_000)
 		expect(running().length).to.be.at.most(1)
 	})
--- a/packages/jobs/test/domain-choice.test.ts
+++ b/packages/jobs/test/domain-choice.test.ts
@@ -4,9 +4,9 @@
 import type {Job, Queue} from "@cottonwood/jobs"
 import {
 	chooseDomain,
-	forecastHereMs,
+	forecastLocalStartMs,
 	needOf,
-	type DomainNews,
+	type DomainReport,
 	type JobNeed,
 	type OwnDomain,
 } from "@cottonwood/jobs/internals"
@@ -28,12 +28,12 @@
 	totalCpu: 64_000,
 	waitingWork: 6_400,
 	waitedMs: 0,
-	refuses: false,
+	wouldRefuse: false,
 }
 
-const news = (failureDomain: string, changes: Partial<DomainNews> = {}): DomainNews => ({
+const news = (failureDomain: string, changes: Partial<DomainReport> = {}): DomainReport => ({
 	failureDomain,
-	toldCpu: [16_000, 16_000],
+	reportedCpu: [16_000, 16_000],
 	freeCpu: [16_000, 16_000],
 	sentCpu: 0,
 	sentWork: 0,
@@ -44,15 +44,15 @@
 	claimAgeMs: 60_000,
 	silentMs: 20,
 	quietMs: 0,
-	isEmptied: false,
+	isEvacuated: false,
 	isLeaving: false,
-	isUnreached: false,
+	isUnreachable: false,
 	isStrained: false,
 	...changes,
 })
 
 const chosen = (
-	all: readonly DomainNews[],
+	all: readonly DomainReport[],
 	{own = FULL, need = NEED, crossDomainMs = 0} = {},
 ): string | undefined => chooseDomain(own, all, need, crossDomainMs)?.failureDomain
 
@@ -75,7 +75,7 @@
 
 	it("takes what has waited long without a place to wait as long again, whatever the queue says", () => {
 		const own = {...FULL, waitingWork: 0, totalCpu: 6_400_000, waitedMs: 40}
-		expect(forecastHereMs(own, NEED)).to.equal(40)
+		expect(forecastLocalStartMs(own, NEED)).to.equal(40)
 		expect(chosen([news("b")], {own})).to.equal("b")
 	})
 
@@ -85,10 +85,10 @@
 	})
 
 	it("is none that is emptied, leaving, unreached, strained, cut off, or just beginning", () => {
-		const unfit: readonly Partial<DomainNews>[] = [
-			{isEmptied: true},
+		const unfit: readonly Partial<DomainReport>[] = [
+			{isEvacuated: true},
 			{isLeaving: true},
-			{isUnreached: true},
+			{isUnreachable: true},
 			{isStrained: true},
 			{silentMs: 700},
 			{quietMs: 350},
@@ -110,8 +110,8 @@
 
 	/* A queue elsewhere may refuse it too, and a job that was taken here loses its place. */
 	it("is a queue elsewhere only for a job that is refused here and would be in time there", () => {
-		const queue = news("b", {toldCpu: [], freeCpu: [], waitingWork: 800})
-		const refusing = {...FULL, refuses: true}
+		const queue = news("b", {reportedCpu: [], freeCpu: [], waitingWork: 800})
+		const refusing = {...FULL, wouldRefuse: true}
 		expect(chosen([queue])).to.equal(undefined)
 		expect(chosen([queue], {own: refusing})).to.equal("b")
 		expect(chosen([queue], {own: refusing, need: {...NEED, startInMs: 50}})).to.equal(undefined)
--- a/packages/jobs/test/elsewhere.test.ts
+++ b/packages/jobs/test/elsewhere.test.ts
@@ -4,17 +4,17 @@
 import {
 	createJobMetrics,
 	silentLog,
-	type Beat,
+	type Heartbeat,
 	type Claim,
 	type Job,
 	type Member,
 } from "@cottonwood/jobs"
 import {
 	createFleetView,
-	createHosts,
-	createWholeJobs,
+	createHostedPlacers,
+	createWholeJobMoves,
 	type Keeper,
-	type Waiting,
+	type WaitingTask,
 } from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock, type FakeClock} from "./support/fake-clock.js"
@@ -45,10 +45,10 @@
 	const self = member(own)
 	const evacuated = new Set<string>()
 	const isEvacuated = (domain: string) => evacuated.has(domain)
-	const byTasks: Waiting[] = []
+	const byTasks: WaitingTask[] = []
 	const view = createFleetView(clock, claim => hosts.noteClaim(claim))
 	const common = {clock, log: silentLog, metrics, self}
-	const {elsewhere} = createWholeJobs(
+	const {elsewhere} = createWholeJobMoves(
 		{...common, view, peers: fakePeers(), isEvacuated},
 		{domainChoice: "forecast", crossDomainMs},
 	)
@@ -58,7 +58,7 @@
 		close: () => undefined,
 		jobCount: () => 0,
 	} as unknown as Keeper
-	const hosts = createHosts({
+	const hosts = createHostedPlacers({
 		...common,
 		orders: fleet,
 		advisor: NO_ADVISOR,
@@ -98,14 +98,14 @@
 	}
 	function tell(failureDomain: string, freeCpu: readonly number[], isLeaving = false) {
 		const room = {freeCpu, totalCpu: 640_000, waitingWork: 0, labels: []}
-		const beat: Beat = {
+		const beat: Heartbeat = {
 			from: member(failureDomain),
 			claims: [claimOf(failureDomain)],
 			rooms: {[failureDomain]: room},
 			isLeaving,
 			configVersion: 1,
 		}
-		view.takeBeat(beat)
+		view.applyHeartbeat(beat)
 	}
 	const startsOf = (id: string) => fleet.starts.filter(({task}) => task.startsWith(id)).length
 	view.noteClaim(claimOf(own))
--- a/packages/jobs/test/ended-placing.test.ts
+++ b/packages/jobs/test/ended-placing.test.ts
@@ -4,7 +4,7 @@
  * after they were cancelled.
  */
 import {createJobMetrics, silentLog, type Claim} from "@cottonwood/jobs"
-import {createHosts, type Keeper, type TaskEnd} from "@cottonwood/jobs/internals"
+import {createHostedPlacers, type Keeper, type TaskEnd} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 import {FakeFleet, record} from "./support/fake-executors.js"
@@ -22,7 +22,7 @@
 	it("tells the end of what other placers had handed to it, once that is certain", async () => {
 		const clock = createFakeClock()
 		const keeper = {...NO_KEPT_RUNS, begin: ignore, close: ignore, jobCount: () => 0}
-		const hosts = createHosts({
+		const hosts = createHostedPlacers({
 			clock,
 			orders: new FakeFleet(clock),
 			advisor: NO_ADVISOR,
--- a/packages/jobs/test/evacuations.test.ts
+++ b/packages/jobs/test/evacuations.test.ts
@@ -5,7 +5,7 @@
 	createJobMetrics,
 	silentLog,
 	type Claim,
-	type EvacuationNews,
+	type EvacuationSnapshot,
 	type Job,
 	type Member,
 } from "@cottonwood/jobs"
@@ -13,7 +13,7 @@
 	createDispatcher,
 	createEvacuations,
 	createFleetView,
-	type Hosts,
+	type HostedPlacers,
 	type JobReply,
 	type TaskEnd,
 } from "@cottonwood/jobs/internals"
@@ -52,56 +52,56 @@
 	it("are known from a listing, begin and end by changes, and leave other keys alone", () => {
 		const {evacuations, underWay, changes} = createKnown()
 		const other: StoreItem = {key: "config", value: {}, revision: 1}
-		evacuations.takeListing({items: [other, item("a")], revision: 5})
+		evacuations.applyListing({items: [other, item("a")], revision: 5})
 		expect(underWay()).to.eql(["a"])
-		evacuations.takeChange({items: [item("b")], deleted: [], revision: 6})
+		evacuations.applyChange({items: [item("b")], deleted: [], revision: 6})
 		expect(underWay()).to.eql(["a", "b"])
-		evacuations.takeChange({items: [], deleted: [PREFIX + "a"], revision: 7})
+		evacuations.applyChange({items: [], deleted: [PREFIX + "a"], revision: 7})
 		expect(underWay()).to.eql(["b"])
-		evacuations.takeListing({items: [], revision: 8})
+		evacuations.applyListing({items: [], revision: 8})
 		expect(underWay()).to.eql([])
 		expect(changes()).to.equal(4)
 	})
 
 	it("hold nothing where their value cannot be read, and stay where one was in force", () => {
 		const {evacuations, underWay} = createKnown()
-		evacuations.takeListing({items: [item("a", 7)], unreadable: [PREFIX + "b"], revision: 5})
+		evacuations.applyListing({items: [item("a", 7)], unreadable: [PREFIX + "b"], revision: 5})
 		expect(underWay()).to.eql([])
-		evacuations.takeChange({items: [item("c")], deleted: [], revision: 6})
+		evacuations.applyChange({items: [item("c")], deleted: [], revision: 6})
 		const lost = [PREFIX + "c"]
-		evacuations.takeChange({items: [item("a", "x")], deleted: lost, unreadable: lost, revision: 7})
+		evacuations.applyChange({items: [item("a", "x")], deleted: lost, unreadable: lost, revision: 7})
 		expect(underWay()).to.eql(["c"])
-		evacuations.takeChange({items: [], deleted: lost, revision: 8})
+		evacuations.applyChange({items: [], deleted: lost, revision: 8})
 		expect(underWay()).to.eql([])
 	})
 
 	it("are learnt from a peer that heard the store later, and not from one that heard it before", () => {
 		const {evacuations, underWay} = createKnown()
-		evacuations.takeListing({items: [item("a")], revision: 5})
-		const news = (revision: number, failureDomains: readonly string[]): EvacuationNews => ({
+		evacuations.applyListing({items: [item("a")], revision: 5})
+		const news = (revision: number, failureDomains: readonly string[]): EvacuationSnapshot => ({
 			revision,
 			failureDomains,
 		})
-		evacuations.takeNews(news(4, []), "peer")
+		evacuations.applySnapshot(news(4, []), "peer")
 		expect(underWay()).to.eql(["a"])
-		evacuations.takeNews(news(9, ["b"]), "peer")
+		evacuations.applySnapshot(news(9, ["b"]), "peer")
 		expect(underWay()).to.eql(["b"])
 		// What the store told this instance late is older than what the peer heard.
-		evacuations.takeChange({items: [item("c")], deleted: [], revision: 7})
+		evacuations.applyChange({items: [item("c")], deleted: [], revision: 7})
 		expect(underWay()).to.eql(["b"])
-		evacuations.takeChange({items: [item("b")], deleted: [PREFIX + "a"], revision: 10})
+		evacuations.applyChange({items: [item("b")], deleted: [PREFIX + "a"], revision: 10})
 		expect(underWay()).to.eql(["b", "c"])
 	})
 
 	it("are not taken back by the word of an instance whose watch heard nothing", () => {
 		const deaf = createKnown()
-		deaf.evacuations.takeListing({items: [item("b")], revision: 5})
-		deaf.evacuations.takeChange({items: [], deleted: [], revision: 30})
+		deaf.evacuations.applyListing({items: [item("b")], revision: 5})
+		deaf.evacuations.applyChange({items: [], deleted: [], revision: 30})
 		const hearing = createKnown()
-		hearing.evacuations.takeListing({items: [item("a"), item("b")], revision: 20})
-		const [told, heard] = [deaf.evacuations.news(), hearing.evacuations.news()]
-		if (told) hearing.evacuations.takeNews(told, "deaf")
-		if (heard) deaf.evacuations.takeNews(heard, "hearing")
+		hearing.evacuations.applyListing({items: [item("a"), item("b")], revision: 20})
+		const [told, heard] = [deaf.evacuations.snapshot(), hearing.evacuations.snapshot()]
+		if (told) hearing.evacuations.applySnapshot(told, "deaf")
+		if (heard) deaf.evacuations.applySnapshot(heard, "hearing")
 		expect([hearing.underWay(), deaf.underWay()]).to.eql([
 			["a", "b"],
 			["a", "b"],
@@ -110,11 +110,11 @@
 
 	it("are told in no beat before there was one", () => {
 		const {evacuations} = createKnown()
-		evacuations.takeListing({items: [], revision: 5})
-		expect(evacuations.news()).to.equal(undefined)
-		evacuations.takeListing({items: [item("a")], revision: 6})
-		evacuations.takeListing({items: [], revision: 7})
-		expect(evacuations.news()).to.eql({revision: 7, failureDomains: []})
+		evacuations.applyListing({items: [], revision: 5})
+		expect(evacuations.snapshot()).to.equal(undefined)
+		evacuations.applyListing({items: [item("a")], revision: 6})
+		evacuations.applyListing({items: [], revision: 7})
+		expect(evacuations.snapshot()).to.eql({revision: 7, failureDomains: []})
 	})
 })
 
@@ -145,7 +145,7 @@
 	}
 	const giveRoomElsewhere = () => {
 		isRoomElsewhere = true
-		placer.walk()
+		placer.placeWaiting()
 	}
 	return {clock, orders, placer, ends, handedOver, submit, evacuate, giveRoomElsewhere}
 }
@@ -250,7 +250,7 @@
 				return {reply, wasUnsent: () => false, wasRefused: () => false, cancel: () => undefined}
 			},
 		}),
-		hosts: {of: () => undefined} as unknown as Hosts,
+		hosts: {of: () => undefined} as unknown as HostedPlacers,
 		config: () => undefined,
 		refreshConfig: () => undefined,
 		isLeaving: () => false,
--- a/packages/jobs/test/fleet.test.ts
+++ b/packages/jobs/test/fleet.test.ts
@@ -1,13 +1,19 @@
 /**
  * Membership and claims: who tries to place a failure domain, and when.
  */
-import {createJobMetrics, silentLog, type Beat, type Claim, type Member} from "@cottonwood/jobs"
+import {
+	createJobMetrics,
+	silentLog,
+	type Heartbeat,
+	type Claim,
+	type Member,
+} from "@cottonwood/jobs"
 import {
 	claimKey,
 	createClaimsLoop,
 	createExecutorList,
 	createFleetView,
-	nodeKey,
+	memberKey,
 	type ClaimsDeps,
 } from "@cottonwood/jobs/internals"
 import type {StoreChange} from "@cottonwood/core"
@@ -43,9 +49,9 @@
 	const clock = createFakeClock()
 	const {fake, store} = createFakeStore()
 	const view = createFleetView(clock, () => undefined)
-	for (const one of options.members) fake.write(nodeKey(one.name), one)
+	for (const one of options.members) fake.write(memberKey(one.name), one)
 	for (const claim of options.claims ?? []) fake.write(claimKey(claim.failureDomain), claim)
-	view.takeListing([...fake.items.values()])
+	view.applyListing([...fake.items.values()])
 	const deps: ClaimsDeps = {
 		clock,
 		store,
@@ -131,7 +137,7 @@
 	 * "no word for 1048 ms" and the like, about placers that went on writing lines.
 	 */
 	describe("of a placer that is late, not silent", () => {
-		const beatOf = (from: Member, lateMs: number): Beat => ({
+		const beatOf = (from: Member, lateMs: number): Heartbeat => ({
 			from,
 			claims: [],
 			rooms: {},
@@ -150,7 +156,7 @@
 				pingTakesMs: ({name}) => (name === one.name ? 900 : 1),
 			})
 			for (let beats = 0; beats < 8; beats++) {
-				world.view.takeBeat(beatOf(one, lateMs))
+				world.view.applyHeartbeat(beatOf(one, lateMs))
 				await world.clock.advance(1_200)
 			}
 			return world.fenceOf()
@@ -183,8 +189,8 @@
 					claims: [heldByOne],
 					answers,
 				})
-				world.view.takeBeat(beatOf(one, lateMs))
-				world.view.noteUnreached(one.session)
+				world.view.applyHeartbeat(beatOf(one, lateMs))
+				world.view.noteUnreachable(one.session)
 				await world.clock.advance(1_000)
 				return world.fenceOf()
 			}
@@ -195,7 +201,7 @@
 		it("go to another one when it is gone, however late it was", async () => {
 			const answers = ({name}: Member) => name === "b-1"
 			const world = createWorld({self: two, members: [one, two, far], claims: [heldByOne], answers})
-			world.view.takeBeat(beatOf(one, 5_000))
+			world.view.applyHeartbeat(beatOf(one, 5_000))
 			await world.clock.advance(4_500)
 			expect(world.fenceOf()).to.equal(5)
 		})
@@ -209,7 +215,7 @@
 			claims: [earlier],
 			pingTakesMs: () => 350,
 		})
-		world.loop.lookNow()
+		world.loop.checkNow()
 		await world.clock.advance(20)
 		expect(world.fenceOf()).to.equal(5)
 	})
@@ -309,7 +315,7 @@
 			domains: ["b"],
 		})
 		await world.clock.advance(3_500)
-		world.view.takeChanges([], [nodeKey("b-2")])
+		world.view.applyChanges([], [memberKey("b-2")])
 		await world.clock.advance(1_200)
 		expect(world.fenceOf("b")).to.equal(3)
 	})
@@ -528,10 +534,10 @@
 		const view = createFleetView(createFakeClock(), claim => void claims.push(claim))
 		const odd = [null, 7, "text", {}, {fence: "3"}, {failureDomain: "a", fence: 2, placer: {}}]
 		odd.forEach((value, at) => {
-			view.takeChanges([{key: nodeKey(`n${at}`), value, revision: at}], [])
-			view.takeChanges([{key: claimKey("a"), value, revision: at}], [])
+			view.applyChanges([{key: memberKey(`n${at}`), value, revision: at}], [])
+			view.applyChanges([{key: claimKey("a"), value, revision: at}], [])
 		})
-		view.takeChanges([{key: nodeKey("a-1"), value: member("a-1"), revision: 9}], [])
+		view.applyChanges([{key: memberKey("a-1"), value: member("a-1"), revision: 9}], [])
 		expect(view.members().map(({name}) => name)).to.eql(["a-1"])
 		expect(claims).to.eql([])
 	})
--- a/packages/jobs/test/follow.test.ts
+++ b/packages/jobs/test/follow.test.ts
@@ -2,7 +2,7 @@
  * Following a prefix of the store: what is asked when, and that nothing which was told gets lost.
  */
 import {silentLog, type Member} from "@cottonwood/jobs"
-import {createFleetView, followPrefix, nodeKey} from "@cottonwood/jobs/internals"
+import {createFleetView, followPrefix, memberKey} from "@cottonwood/jobs/internals"
 import type {Clock, Store, StoreChange, StoreListing} from "@cottonwood/core"
 import {expect} from "chai"
 import {createFakeClock, settle} from "./support/fake-clock.js"
@@ -15,7 +15,7 @@
 		log: silentLog,
 		prefix: "p/",
 		waitMs: 1_000,
-		wholeMs: Infinity,
+		relistMs: Infinity,
 		onListing,
 		onChange: () => undefined,
 	})
@@ -98,8 +98,8 @@
 			log: silentLog,
 			prefix: "p/",
 			waitMs: 600,
-			wholeMs: Infinity,
-			gatherMs: 300,
+			relistMs: Infinity,
+			batchMs: 300,
 			onListing: () => undefined,
 			onChange: () => void told++,
 		})
@@ -144,8 +144,8 @@
 			address: "a-1:1",
 			cpuShare: 1,
 		}
-		const key = nodeKey("a-1")
-		view.takeChanges([{key, value, revision: 2}], [key])
+		const key = memberKey("a-1")
+		view.applyChanges([{key, value, revision: 2}], [key])
 		expect(view.members()).to.eql([])
 	})
 })
--- a/packages/jobs/test/given-executors.test.ts
+++ b/packages/jobs/test/given-executors.test.ts
@@ -25,7 +25,7 @@
 		await clock.advance(10)
 		expect(fleet.starts).to.have.length(1)
 		placer.setExecutors([record("e1"), record("e2")])
-		expect(placer.giveExecutors(({id}) => id === "e1", ignore)).to.equal(1)
+		expect(placer.handOverExecutors(({id}) => id === "e1", ignore)).to.equal(1)
 		placer.setExecutors([record("e2")])
 		submit(2)
 		await clock.advance(50)
--- a/packages/jobs/test/handover.test.ts
+++ b/packages/jobs/test/handover.test.ts
@@ -2,7 +2,12 @@
  * Giving a failure domain to a successor.
  */
 import {silentLog, type Claim, type Member} from "@cottonwood/jobs"
-import {createFleetView, createHandover, nodeKey, type Hosts} from "@cottonwood/jobs/internals"
+import {
+	createFleetView,
+	createHandover,
+	memberKey,
+	type HostedPlacers,
+} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 import {fakePeers, unused} from "./support/peers.js"
@@ -19,7 +24,7 @@
 	const clock = createFakeClock()
 	const self = members[0] as Member
 	const view = createFleetView(clock, () => undefined)
-	view.takeListing(members.map(one => ({key: nodeKey(one.name), value: one, revision: 1})))
+	view.applyListing(members.map(one => ({key: memberKey(one.name), value: one, revision: 1})))
 	const claim: Claim = {failureDomain: "a", fence: 4, placer: self}
 	view.noteClaim(claim)
 	const strain = {isStrained: false}
@@ -29,8 +34,9 @@
 		executorsOf: () => [],
 		offerHandover: () => undefined,
 		withdrawHandover: () => undefined,
-		giveTo: (successor: Claim) => void given.push(`${successor.placer.name}/${successor.fence}`),
-	} as unknown as Hosts
+		handOverTo: (successor: Claim) =>
+			void given.push(`${successor.placer.name}/${successor.fence}`),
+	} as unknown as HostedPlacers
 	const handover = createHandover({
 		clock,
 		log: silentLog,
@@ -59,7 +65,7 @@
 describe("handover", () => {
 	it("waits for a successor whose store is slow rather than ask another one", async () => {
 		const world = createWorld([member("a-1"), member("a-2"), member("a-3")], 1_200)
-		void world.handover.giveAllAway()
+		void world.handover.handOverAll()
 		await world.clock.advance(3_000)
 		expect(world.asked).to.eql(["a-2:1"])
 		expect(world.given).to.eql(["a-2/5"])
@@ -75,11 +81,11 @@
 		const large = {...member("b-1", 1.35), failureDomain: "b"}
 		const members = [member("a-1", 1.35), member("a-2", 0.324), large]
 		const world = createWorld(members, 10)
-		void world.handover.giveAllAway()
+		void world.handover.handOverAll()
 		await world.clock.advance(1_000)
 		expect(world.asked).to.eql(["b-1:1"])
 		const small = createWorld([member("a-1", 1.35), member("a-2", 0.324)], 10)
-		void small.handover.giveAllAway()
+		void small.handover.handOverAll()
 		await small.clock.advance(1_000)
 		expect(small.asked, "better than nobody").to.eql(["a-2:1"])
 	})
@@ -98,7 +104,7 @@
 
 	it("asks another one when the first declines", async () => {
 		const world = createWorld([member("a-1"), member("a-2"), member("a-3")], 10, false)
-		void world.handover.giveAllAway()
+		void world.handover.handOverAll()
 		await world.clock.advance(1_000)
 		expect(world.asked).to.eql(["a-2:1", "a-3:1"])
 		expect(world.given).to.eql([])
@@ -106,7 +112,7 @@
 
 	it("gives its runs on when the claim is the successor's though no answer came", async () => {
 		const world = createWorld([member("a-1"), member("a-2"), member("a-3")], 5_000)
-		void world.handover.giveAllAway()
+		void world.handover.handOverAll()
 		await world.clock.advance(100)
 		world.view.noteClaim({failureDomain: "a", fence: 5, placer: member("a-2")})
 		await world.clock.advance(2_500)
@@ -119,7 +125,7 @@
 		await world.clock.advance(2_600)
 		expect(world.asked).to.eql(["a-3:1"])
 		let isGiven = false
-		void world.handover.giveAllAway().then(() => (isGiven = true))
+		void world.handover.handOverAll().then(() => (isGiven = true))
 		await world.clock.advance(100)
 		expect(world.asked).to.eql(["a-3:1"])
 		expect(isGiven).to.equal(false)
@@ -152,8 +158,8 @@
 			isStrained,
 			configVersion: 1,
 		})
-		world.view.takeBeat(beatOf("a-2", true))
-		world.view.takeBeat(beatOf("a-3", false))
+		world.view.applyHeartbeat(beatOf("a-2", true))
+		world.view.applyHeartbeat(beatOf("a-3", false))
 		await world.clock.advance(1_000)
 		expect(world.asked).to.eql([])
 		world.strain.isStrained = true
--- a/packages/jobs/test/hosts.test.ts
+++ b/packages/jobs/test/hosts.test.ts
@@ -2,7 +2,7 @@
  * The placers that one instance hosts, when one more domain is handed to it.
  */
 import {createJobMetrics, silentLog, type Claim, type ExecutorRecord} from "@cottonwood/jobs"
-import {createHosts, type Keeper} from "@cottonwood/jobs/internals"
+import {createHostedPlacers, type Keeper} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 import {FakeFleet, record} from "./support/fake-executors.js"
@@ -23,7 +23,7 @@
 		close: () => undefined,
 		jobCount: () => 0,
 	} as unknown as Keeper
-	const hosts = createHosts({
+	const hosts = createHostedPlacers({
 		clock,
 		orders: new FakeFleet(clock),
 		advisor: NO_ADVISOR,
@@ -60,7 +60,7 @@
 		hosts.noteClaim(claimOf("b", 7))
 		await clock.advance(50)
 		expect(hosts.executorsOf("b").map(({id}) => id)).to.eql(["b2"])
-		expect(hosts.of("b")?.placer.isSettled()).to.equal(false)
+		expect(hosts.of("b")?.placer.hasTakenOver()).to.equal(false)
 	})
 
 	it("ends placing when its successor's answer was lost and somebody else has the claim", async () => {
--- a/packages/jobs/test/keeper.test.ts
+++ b/packages/jobs/test/keeper.test.ts
@@ -7,8 +7,8 @@
 	claimKey,
 	createKeeper,
 	createWallClock,
-	endKey,
-	openKey,
+	endedJobKey,
+	openJobKey,
 	type EndRecord,
 	type JobRecord,
 	type KeeperDeps,
@@ -80,8 +80,8 @@
 		return {keeper, placer: hosted, deposed: () => deposed, close}
 	}
 
-	const open = (id = ID) => fake.items.get(openKey(id))?.value as JobRecord | undefined
-	const end = (id = ID) => fake.items.get(endKey(id))?.value as EndRecord | undefined
+	const open = (id = ID) => fake.items.get(openJobKey(id))?.value as JobRecord | undefined
+	const end = (id = ID) => fake.items.get(endedJobKey(id))?.value as EndRecord | undefined
 	const startsOf = (task: string) => orders.starts.filter(start => start.task === task)
 	return {clock, orders, fake, store: store.store, beginPlacing, open, end, startsOf}
 }
@@ -394,7 +394,11 @@
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
 		await accept(world, keeper)
-		world.fake.write(openKey(ID), {...(world.open() as JobRecord), isCancelled: true, writer: ""})
+		world.fake.write(openJobKey(ID), {
+			...(world.open() as JobRecord),
+			isCancelled: true,
+			writer: "",
+		})
 		await world.clock.advance(2_900)
 		expect(world.end()?.state).to.equal("cancelled")
 		expect(world.orders.runningCount).to.equal(0)
--- a/packages/jobs/test/late-placers.test.ts
+++ b/packages/jobs/test/late-placers.test.ts
@@ -4,7 +4,7 @@
  */
 import type {Clock} from "@cottonwood/core"
 import {createJobMetrics, silentLog, type Claim, type Member} from "@cottonwood/jobs"
-import {claimKey, createClaimsLoop, createFleetView, nodeKey} from "@cottonwood/jobs/internals"
+import {claimKey, createClaimsLoop, createFleetView, memberKey} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 import {createFakeStore} from "./support/fake-store.js"
@@ -64,14 +64,14 @@
 		processes.get(session) as ReturnType<typeof createProcess>
 	const [first] = members as [Member, ...Member[]]
 	fake.write(claimKey("a"), {failureDomain: "a", fence: 1, placer: first} satisfies Claim)
-	for (const member of members) fake.write(nodeKey(member.name), member)
+	for (const member of members) fake.write(memberKey(member.name), member)
 	const placer = () => (fake.items.get(claimKey("a"))?.value as Claim).placer
 	const views = members.map(self => {
 		const own = processOf(self)
 		const view = createFleetView(clock, claim => {
 			if (claim.fence > 1 && claim.placer.session === self.session) own.work(TAKEOVER_WORK_MS)
 		})
-		view.takeListing([...fake.items.values()])
+		view.applyListing([...fake.items.values()])
 		const toldLateMs = judge === "as a late one" ? own.lateMs : () => 0
 
 		async function ping(member: Member, patienceMs: number): Promise<string | undefined> {
@@ -85,7 +85,7 @@
 			if (placer().session === self.session)
 				for (const other of views)
 					processOf(other.self).inTurn(() =>
-						other.view.takeBeat({...news, configVersion: 1, lateMs: toldLateMs()}),
+						other.view.applyHeartbeat({...news, configVersion: 1, lateMs: toldLateMs()}),
 					)
 			own.clock.schedule(BEAT_MS, beat)
 		}
@@ -115,7 +115,7 @@
 		if (target.lateMs() > ESTABLISH_MS)
 			for (const {view} of views) {
 				if (judge === "as its end") view.noteGone(placer().session)
-				else view.noteUnreached(placer().session)
+				else view.noteUnreachable(placer().session)
 			}
 		clock.schedule(LOOK_MS, load)
 	}
--- a/packages/jobs/test/lease-rule.test.ts
+++ b/packages/jobs/test/lease-rule.test.ts
@@ -6,7 +6,7 @@
 	certainEndAt,
 	createExecutorClock,
 	leaseMsFor,
-	mayBegin,
+	mayStart,
 	SLOWEST_RATE,
 } from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -48,7 +48,7 @@
 				const confirmedAt = now - confirmationAgeMs
 				const leaseMs = leaseMsFor(LEASE_RULE, confirmedAt, now)
 				if (leaseMs < 1) return
-				const untilMs = Math.floor((clock.lowest(now) ?? 0) + leaseMs)
+				const untilMs = Math.floor((clock.lowestReading(now) ?? 0) + leaseMs)
 				const endsAt = executor.timeOf(untilMs) + LEASE_RULE.endMarginMs
 				expect(endsAt).to.be.at.most(certainEndAt(LEASE_RULE, confirmedAt))
 			}),
@@ -63,11 +63,11 @@
 				const clock = createExecutorClock(LEASE_RULE)
 				const readAt = now - readingAgeMs
 				clock.observe(Math.floor(executor.clockAt(readAt)), readAt)
-				const untilMs = Math.floor((clock.lowest(now) ?? 0) + LEASE_RULE.longestLeaseMs)
-				clock.extend(untilMs)
+				const untilMs = Math.floor((clock.lowestReading(now) ?? 0) + LEASE_RULE.longestLeaseMs)
+				clock.noteLease(untilMs)
 				const endsAt = executor.timeOf(untilMs)
-				expect(clock.hasLapsed(Math.max(now, endsAt))).to.equal(false)
-				expect(clock.hasLapsed(now + 2 * LEASE_RULE.longestEndMs)).to.equal(true)
+				expect(clock.haveLeasesEnded(Math.max(now, endsAt))).to.equal(false)
+				expect(clock.haveLeasesEnded(now + 2 * LEASE_RULE.longestEndMs)).to.equal(true)
 			}),
 		)
 	})
@@ -76,14 +76,18 @@
 		const now = 5_000
 		const leasesEndAt = now + LEASE_RULE.longestEndMs
 		const oldest = leasesEndAt - LEASE_RULE.endsWithinMs
-		expect(mayBegin(LEASE_RULE, {confirmedAt: oldest, besideAt: now, leasesEndAt}, now)).to.equal(
-			true,
-		)
 		expect(
-			mayBegin(LEASE_RULE, {confirmedAt: oldest - 1, besideAt: now, leasesEndAt}, now),
+			mayStart(LEASE_RULE, {confirmedAt: oldest, neighboursConfirmedAt: now, leasesEndAt}, now),
+		).to.equal(true)
+		expect(
+			mayStart(LEASE_RULE, {confirmedAt: oldest - 1, neighboursConfirmedAt: now, leasesEndAt}, now),
 		).to.equal(false)
 		expect(
-			mayBegin(LEASE_RULE, {confirmedAt: now - 900, besideAt: now, leasesEndAt: now}, now),
+			mayStart(
+				LEASE_RULE,
+				{confirmedAt: now - 900, neighboursConfirmedAt: now, leasesEndAt: now},
+				now,
+			),
 		).to.equal(false)
 	})
 
@@ -91,16 +95,16 @@
 		const now = 5_000
 		const leasesEndAt = now + LEASE_RULE.longestEndMs
 		expect(
-			mayBegin(LEASE_RULE, {confirmedAt: now - 170, besideAt: now, leasesEndAt}, now),
+			mayStart(LEASE_RULE, {confirmedAt: now - 170, neighboursConfirmedAt: now, leasesEndAt}, now),
 		).to.equal(true)
 	})
 
 	it("lets nothing of callers begin where they come back too soon for any lease", () => {
 		const rule = leaseRuleFor({resubmitMs: 480, maxLeaseMs: 1_000, stopGraceMs: 50})
 		const now = 5_000
-		const fresh = {confirmedAt: now, besideAt: Infinity, leasesEndAt: -Infinity}
-		expect(mayBegin(rule, fresh, now)).to.equal(false)
-		expect(mayBegin(rule, {...fresh, confirmedAt: Infinity}, now)).to.equal(true)
+		const fresh = {confirmedAt: now, neighboursConfirmedAt: Infinity, leasesEndAt: -Infinity}
+		expect(mayStart(rule, fresh, now)).to.equal(false)
+		expect(mayStart(rule, {...fresh, confirmedAt: Infinity}, now)).to.equal(true)
 	})
 
 	it("asks for the longest lease that executors grant where callers come back late", () => {
@@ -117,6 +121,6 @@
 		const clock = createExecutorClock(LEASE_RULE)
 		clock.observe(10_000, 500)
 		clock.observe(9_900, 510)
-		expect(clock.lowest(510)).to.be.at.least(10_000)
+		expect(clock.lowestReading(510)).to.be.at.least(10_000)
 	})
 })
--- a/packages/jobs/test/ledger.test.ts
+++ b/packages/jobs/test/ledger.test.ts
@@ -4,8 +4,8 @@
 import {createJobMetrics, silentLog} from "@cottonwood/jobs"
 import {
 	createLedger,
-	endKey,
-	openKey,
+	endedJobKey,
+	openJobKey,
 	type JobRecord,
 	type LedgerDeps,
 } from "@cottonwood/jobs/internals"
@@ -32,7 +32,7 @@
 		onGone: id => void seen.gone.push(id),
 		...extra,
 	})
-	const stored = (id: string) => fake.items.get(openKey(id))?.value as JobRecord | undefined
+	const stored = (id: string) => fake.items.get(openJobKey(id))?.value as JobRecord | undefined
 	return {clock, fake, ledger, seen, stored}
 }
 
@@ -47,8 +47,8 @@
 
 	it("tells a job that stands in the store already, open or ended, from a new one", async () => {
 		const {clock, fake, ledger, stored} = createWorld()
-		fake.write(openKey("a"), {...jobRecord("a"), writer: "other:1/1", spec: "first"})
-		fake.write(endKey("b"), {state: "completed", endedAtMs: 0})
+		fake.write(openJobKey("a"), {...jobRecord("a"), writer: "other:1/1", spec: "first"})
+		fake.write(endedJobKey("b"), {state: "completed", endedAtMs: 0})
 		const writes = ["a", "b", "c"].map(id => ledger.create(jobRecord(id)))
 		await clock.advance(100)
 		expect(await Promise.all(writes)).to.eql(["exists", "exists", "written"])
@@ -85,7 +85,7 @@
 		await clock.advance(500)
 		expect(await end).to.equal("written")
 		expect(stored("a")).to.equal(undefined)
-		expect(fake.items.get(endKey("a"))?.value).to.eql({state: "completed", endedAtMs: 7})
+		expect(fake.items.get(endedJobKey("a"))?.value).to.eql({state: "completed", endedAtMs: 7})
 	})
 
 	it("writes an end that is wanted before the record stands in the store", async () => {
@@ -96,7 +96,7 @@
 		const end = ledger.finish("a", "cancelled", 7)
 		await clock.advance(500)
 		expect([await write, await end]).to.eql(["written", "written"])
-		expect(fake.items.has(endKey("a"))).to.equal(true)
+		expect(fake.items.has(endedJobKey("a"))).to.equal(true)
 	})
 
 	it("writes nothing more once the claim is another's", async () => {
@@ -116,7 +116,7 @@
 	it("hears that somebody else asked for a job's end", async () => {
 		const {clock, fake, ledger, seen} = createWorld()
 		await Promise.all([ledger.create(jobRecord("a")), clock.advance(50)])
-		fake.write(openKey("a"), {...jobRecord("a"), isCancelled: true})
+		fake.write(openJobKey("a"), {...jobRecord("a"), isCancelled: true})
 		const update = ledger.update(jobRecord("a", {done: ["0.0.0"]}))
 		await clock.advance(500)
 		expect(await update).to.equal("written")
@@ -151,6 +151,6 @@
 		expect(fake.transactions.length).to.be.within(4, 10)
 		fake.isAway = false
 		await clock.advance(400)
-		expect(fake.items.has(openKey("a"))).to.equal(true)
+		expect(fake.items.has(openJobKey("a"))).to.equal(true)
 	})
 })
--- a/packages/jobs/test/lines.test.ts
+++ b/packages/jobs/test/lines.test.ts
@@ -225,7 +225,7 @@
 		const claim = {failureDomain: "a", fence: 5, placer: OWN}
 		const {view, dispatcher, job, lineOf} = createWorld(clock, claim, {type: "completed"})
 		// A beat to its earlier life's address has come back to it.
-		view.takeBeat(beatOf(OWN))
+		view.applyHeartbeat(beatOf(OWN))
 		await clock.advance(17_000)
 		await dispatcher.dispatch(job, QUEUE, STAYING)
 		const line = lineOf("placer_asked")
@@ -238,7 +238,7 @@
 		const claim = {failureDomain: "b", fence: 5, placer: OTHER}
 		const end = {type: "given up", kind: "placer_lost", cause: "b-1 is silent"}
 		const {view, dispatcher, job, lineOf} = createWorld(clock, claim, end)
-		view.takeBeat(beatOf(OTHER))
+		view.applyHeartbeat(beatOf(OTHER))
 		await clock.advance(200)
 		await dispatcher.dispatch(job, QUEUE, STAYING)
 		const asked = {peer: "b-1", session: "22222222", isOwn: false, inputAgeMs: 200}
--- a/packages/jobs/test/losses.test.ts
+++ b/packages/jobs/test/losses.test.ts
@@ -2,7 +2,7 @@
  * Orders that get lost: noticed within a fraction of a short task, without taking a sound executor for a dead one.
  */
 import type {HoldOrder, HoldReply} from "@cottonwood/jobs"
-import {createLosses, type TaskEnd} from "@cottonwood/jobs/internals"
+import {createLossDetector, type TaskEnd} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 import {FakeExecutors, record} from "./support/fake-executors.js"
@@ -12,7 +12,7 @@
 describe("losses", () => {
 	it("are a matter of seconds", async () => {
 		const clock = createFakeClock()
-		const losses = createLosses(clock)
+		const losses = createLossDetector(clock)
 		expect(losses.isLossy()).to.equal(false)
 		for (let at = 0; at < 3; at++) {
 			losses.noteLost()
@@ -26,7 +26,7 @@
 
 	it("are not taken from what is missed at one moment, or seldom", async () => {
 		const clock = createFakeClock()
-		const losses = createLosses(clock)
+		const losses = createLossDetector(clock)
 		for (let at = 0; at < 5; at++) losses.noteLost()
 		expect(losses.isLossy()).to.equal(false)
 		for (let at = 0; at < 4; at++) {
@@ -37,7 +37,7 @@
 	})
 
 	it("are told from slow answers by the slowest of late", () => {
-		const losses = createLosses(createFakeClock())
+		const losses = createLossDetector(createFakeClock())
 		expect(losses.timeoutMs(90)).to.equal(25)
 		losses.noteAnswer(15)
 		for (let at = 0; at < 10; at++) losses.noteAnswer(1)
--- a/packages/jobs/test/overflow.test.ts
+++ b/packages/jobs/test/overflow.test.ts
@@ -1,13 +1,19 @@
 /**
  * Tasks that go to another domain's placer, and what becomes of them when it falls silent.
  */
-import {createJobMetrics, silentLog, type Beat, type Claim, type Member} from "@cottonwood/jobs"
+import {
+	createJobMetrics,
+	silentLog,
+	type Heartbeat,
+	type Claim,
+	type Member,
+} from "@cottonwood/jobs"
 import {
 	createFleetView,
 	createOverflow,
 	type TaskEnd,
 	type TaskReply,
-	type Waiting,
+	type WaitingTask,
 } from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock, settle} from "./support/fake-clock.js"
@@ -57,21 +63,21 @@
 	})
 	function tellRoom(freeCpu: readonly number[]) {
 		const room = {freeCpu, totalCpu: 64_000, waitingWork: 0, labels: ["r1"]}
-		const beat: Beat = {
+		const beat: Heartbeat = {
 			from: other,
 			claims: [claim],
 			rooms: {b: room},
 			isLeaving: false,
 			configVersion: 1,
 		}
-		view.takeBeat(beat)
+		view.applyHeartbeat(beat)
 	}
 	const ends: TaskEnd[] = []
 	/** As of when the callers here are known to wait; they have not been heard since the beginning. */
 	const confirmedAt = clock.now()
 	let stop: (() => void) | undefined
 	function hand(task: string, extra: Parameters<typeof taskRequest>[1] = {}) {
-		const item: Waiting = {
+		const item: WaitingTask = {
 			req: taskRequest(task, {confirmedAt: () => confirmedAt, ...extra}),
 			since: clock.now(),
 			onEnd: end => void ends.push(end),
--- a/packages/jobs/test/placed-anew.test.ts
+++ b/packages/jobs/test/placed-anew.test.ts
@@ -6,8 +6,8 @@
 	certainEndSinceTold,
 	createDispatcher,
 	createFleetView,
-	createPlaceAnew,
-	placesAnewAt,
+	createRescheduler,
+	rescheduleAt,
 	type JobMessage,
 	type JobReply,
 } from "@cottonwood/jobs/internals"
@@ -42,7 +42,12 @@
 	const calls: Call[] = []
 	const leaving: (() => void)[] = []
 	const metrics = createJobMetrics()
-	const placeAnew = createPlaceAnew({clock, log: silentLog, metrics, leaseRule: LEASE_RULE})
+	const placeAnew = createRescheduler({
+		clock,
+		log: silentLog,
+		metrics,
+		leaseRule: LEASE_RULE,
+	})
 	const dispatcher = createDispatcher({
 		clock,
 		log: silentLog,
@@ -59,7 +64,7 @@
 					reply,
 					wasUnsent: () => false,
 					wasRefused: () => false,
-					wantedAt: () => at,
+					lastConfirmedAt: () => at,
 					cancel: () => undefined,
 				}
 			},
@@ -70,11 +75,11 @@
 		isLeaving: () => false,
 		isEvacuated: () => false,
 		ownLateMs: () => 0,
-		placeAnew: isOn ? placeAnew : undefined,
+		rescheduleLostJob: isOn ? placeAnew : undefined,
 	})
 	const placer = member("a-1", "a")
 	const hear = (from: Member) =>
-		view.takeBeat({from, claims: [], rooms: {}, isLeaving: false, configVersion: 1})
+		view.applyHeartbeat({from, claims: [], rooms: {}, isLeaving: false, configVersion: 1})
 	view.noteClaim({failureDomain: "a", fence: 1, placer})
 	hear(placer)
 
@@ -118,28 +123,30 @@
 }
 
 describe("when a job is placed anew", () => {
-	const lost = {wantedAt: 5_000, chainMs: 900, usefulUntil: 9_000}
+	const lost = {lastConfirmedAt: 5_000, chainMs: 900, usefulUntil: 9_000}
 
 	/*
 	 * A placer's machine lost its power 600 ms before that was noticed. Nothing of its jobs was confirmed since, so their
 	 * runs are over sooner after the notice than their callers would be back.
 	 */
 	it("is as soon as every run is over, counted from what the placer was told last", () => {
-		const at = placesAnewAt(LEASE_RULE, lost, 5_600)
+		const at = rescheduleAt(LEASE_RULE, lost, 5_600)
 		expect(at).to.equal(certainEndSinceTold(LEASE_RULE, 5_000))
 		expect(at).to.be.at.least(5_000 + LEASE_RULE.endsWithinMs)
 		expect(at).to.be.lessThan(5_600 + RESUBMIT_MS)
 	})
 
 	it("is at once when they are over already", () => {
-		expect(placesAnewAt(LEASE_RULE, lost, 7_000)).to.equal(7_000)
+		expect(rescheduleAt(LEASE_RULE, lost, 7_000)).to.equal(7_000)
 	})
 
 	/* Nobody is held for an answer that is of no use: short jobs with a deadline of 1.5 s, which most callers of these have. */
 	it("is never when its end would be of no use by then, or nobody knows what was told", () => {
-		expect(placesAnewAt(LEASE_RULE, {...lost, usefulUntil: 7_100}, 5_600)).to.equal(undefined)
-		expect(placesAnewAt(LEASE_RULE, {...lost, wantedAt: Infinity}, 5_600)).to.equal(undefined)
-		expect(placesAnewAt(LEASE_RULE, {...lost, wantedAt: NaN}, 5_600)).to.equal(undefined)
+		expect(rescheduleAt(LEASE_RULE, {...lost, usefulUntil: 7_100}, 5_600)).to.equal(undefined)
+		expect(rescheduleAt(LEASE_RULE, {...lost, lastConfirmedAt: Infinity}, 5_600)).to.equal(
+			undefined,
+		)
+		expect(rescheduleAt(LEASE_RULE, {...lost, lastConfirmedAt: NaN}, 5_600)).to.equal(undefined)
 	})
 })
 
--- a/packages/jobs/test/placer.test.ts
+++ b/packages/jobs/test/placer.test.ts
@@ -158,7 +158,7 @@
 		orders.isReplaced = false
 		placer.setExecutors([record("e2")])
 		await clock.advance(20)
-		expect(placer.isSettled()).to.equal(true)
+		expect(placer.hasTakenOver()).to.equal(true)
 		expect(placer.executors().map(({id}) => id)).to.eql(["e2"])
 	})
 
@@ -271,7 +271,7 @@
 		placer.adopt(taskRequest("j.0.0.0"), from, end => void ends.push({...end, task: "j.0.0.0"}))
 		expect(orders.stops).to.eql([])
 		const given: unknown[] = []
-		placer.giveAll((item, at) => void given.push([item.req.task, at?.executor]))
+		placer.handOverAll((item, at) => void given.push([item.req.task, at?.executor]))
 		expect(given).to.eql([["j.0.0.0", "e1"]])
 	})
 
--- a/packages/jobs/test/placers-at-hand.test.ts
+++ b/packages/jobs/test/placers-at-hand.test.ts
@@ -1,11 +1,11 @@
 /**
  * Which placer a job is handed to while there is none, one that begins, or one that leaves.
  */
-import {silentLog, type Beat, type Claim, type Job, type Member} from "@cottonwood/jobs"
+import {silentLog, type Heartbeat, type Claim, type Job, type Member} from "@cottonwood/jobs"
 import {
 	createDispatcher,
 	createFleetView,
-	type Hosts,
+	type HostedPlacers,
 	type JobReply,
 } from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -44,7 +44,7 @@
 		hosts: {
 			of: () => hosted.of,
 			run: () => Promise.resolve({type: "completed"}),
-		} as unknown as Hosts,
+		} as unknown as HostedPlacers,
 		config: () => undefined,
 		refreshConfig: () => undefined,
 		isLeaving: () => false,
@@ -52,7 +52,7 @@
 		ownLateMs: () => 0,
 	})
 	const claimOf = (placer: Member, fence: number): Claim => ({failureDomain: "a", fence, placer})
-	const beatOf = (from: Member, isLeaving: boolean): Beat => ({
+	const beatOf = (from: Member, isLeaving: boolean): Heartbeat => ({
 		from,
 		claims: [],
 		rooms: {},
@@ -93,7 +93,7 @@
 		expect(short.settledAt()).to.be.within(1_080, 1_110)
 		expect(long.settledAt()).to.equal(undefined)
 		view.noteClaim(claimOf(self, 2))
-		hosted.of = {placer: {canServe: () => false, isBeginning: () => true}}
+		hosted.of = {placer: {canServe: () => false, isStartingUp: () => true}}
 		await clock.advance(20)
 		expect((await long.end).type).to.equal("completed")
 	})
@@ -116,7 +116,7 @@
 		const {clock, view, claimOf, beatOf, asked, dispatch} = createWorld()
 		view.noteClaim(claimOf(other, 2))
 		await clock.advance(2_000)
-		view.takeBeat(beatOf(other, true))
+		view.applyHeartbeat(beatOf(other, true))
 		const {end} = await dispatch(500)
 		expect((await end).type).to.equal("completed")
 		expect(asked).to.eql(["a-2:1"])
@@ -132,7 +132,7 @@
 		const far = {...member("b-1"), failureDomain: "b"}
 		view.noteClaim(claimOf(other, 2))
 		view.noteClaim({failureDomain: "b", fence: 1, placer: far})
-		for (const placer of [other, far]) view.takeBeat(beatOf(placer, false))
+		for (const placer of [other, far]) view.applyHeartbeat(beatOf(placer, false))
 		await (
 			await dispatch(500)
 		).end
@@ -146,14 +146,14 @@
 		).end
 		expect(asked).to.eql(["a-2:1", "a-2:1", "b-1:1"])
 		// With nobody else in sight it is better than a refusal.
-		view.noteUnreached(far.session)
+		view.noteUnreachable(far.session)
 		await (
 			await dispatch(500)
 		).end
 		expect(asked.at(-1)).to.equal("a-2:1")
-		view.takeBeat(beatOf(far, false))
+		view.applyHeartbeat(beatOf(far, false))
 		// By its own word it is late by so much that this is no sign of anything.
-		view.takeBeat({...beatOf(other, false), lateMs: 60})
+		view.applyHeartbeat({...beatOf(other, false), lateMs: 60})
 		await (
 			await dispatch(500)
 		).end
--- a/packages/jobs/test/reach.test.ts
+++ b/packages/jobs/test/reach.test.ts
@@ -1,7 +1,7 @@
 /**
  * Looking for executors of other failure domains: what it asks of the store, and of them.
  */
-import {createReach} from "@cottonwood/jobs/internals"
+import {createReachabilityProbe} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 import {record} from "./support/fake-executors.js"
@@ -15,7 +15,7 @@
 	const records = DOMAINS.map(domain => ({...record(`${domain}1`), failureDomain: domain}))
 	for (const one of records) fake.write(`e/${one.id}`, one.id)
 	const asked: string[] = []
-	const reach = createReach({
+	const reach = createReachabilityProbe({
 		clock,
 		store,
 		orders: {
@@ -26,7 +26,7 @@
 		},
 		executorPrefix: "e/",
 		decodeExecutor: ({value}) => records.find(({id}) => id === value),
-		followed: () => (options.isFollowed ? records : undefined),
+		latestExecutors: () => (options.isFollowed ? records : undefined),
 	})
 	return {clock, fake, reach, asked}
 }
--- a/packages/jobs/test/registration.test.ts
+++ b/packages/jobs/test/registration.test.ts
@@ -3,7 +3,7 @@
  */
 import {silentLog, type Member} from "@cottonwood/jobs"
 import type {TransactionalStore} from "@cottonwood/core"
-import {beginRegistration, nodeKey} from "@cottonwood/jobs/internals"
+import {beginRegistration, memberKey} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 import {createFakeStore} from "./support/fake-store.js"
@@ -66,10 +66,10 @@
 		clock,
 		calls,
 		begin,
-		entry: () => fake.items.get(nodeKey(SELF.name))?.value,
+		entry: () => fake.items.get(memberKey(SELF.name))?.value,
 		losePuts: (count: number) => void (losesPuts = count),
 		carryOut: () => withheld.splice(0).forEach(write => write()),
-		write: (value: unknown) => fake.write(nodeKey(SELF.name), value),
+		write: (value: unknown) => fake.write(memberKey(SELF.name), value),
 	}
 }
 
--- a/packages/jobs/test/slices.test.ts
+++ b/packages/jobs/test/slices.test.ts
@@ -5,7 +5,7 @@
 import {createJobMetrics, silentLog, type Claim, type Member} from "@cottonwood/jobs"
 import {
 	claimKey,
-	claimsInForce,
+	effectiveClaims,
 	createEvacuations,
 	createExecutorList,
 	createFleetView,
@@ -14,10 +14,10 @@
 	executorsOfSlice,
 	failureDomainOf,
 	fenceFloorOf,
-	hasOwnFence,
+	isFenceInRange,
 	sliceName,
 	sliceOf,
-	wantedSlices,
+	targetSliceCount,
 	type TaskEnd,
 } from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -73,10 +73,10 @@
 
 	it("are as many as executors ask for and instances can bear, and never fewer than before", () => {
 		const domain = {executors: 750, executorsPerPlacer: 150, instances: 100, slices: 1}
-		expect(wantedSlices(domain)).to.equal(5)
-		expect(wantedSlices({...domain, instances: 2})).to.equal(2)
-		expect(wantedSlices({...domain, executors: 150})).to.equal(1)
-		expect(wantedSlices({...domain, executors: 10, slices: 4})).to.equal(4)
+		expect(targetSliceCount(domain)).to.equal(5)
+		expect(targetSliceCount({...domain, instances: 2})).to.equal(2)
+		expect(targetSliceCount({...domain, executors: 150})).to.equal(1)
+		expect(targetSliceCount({...domain, executors: 10, slices: 4})).to.equal(4)
 	})
 
 	/* The store's entries may be another writer's; one with a low fence would be the claim that no executor obeys. */
@@ -94,13 +94,13 @@
 		view.noteClaim(claimOf(1, 1_000_001))
 		expect(view.sliceCount("a")).to.equal(2)
 		const foreign = [claimOf(1, 7), claimOf(1, 2_000_001), claimOf(1, 1_000_002.5), claimOf(2, NaN)]
-		for (const claim of foreign) expect(hasOwnFence(claim)).to.equal(false)
-		view.takeListing(
+		for (const claim of foreign) expect(isFenceInRange(claim)).to.equal(false)
+		view.applyListing(
 			foreign.map(value => ({key: claimKey(value.failureDomain), value, revision: 9})),
 		)
 		for (const claim of foreign) view.noteClaim(claim)
-		view.takeListing([{key: claimKey("a"), value: claimOf(2, 2_000_001), revision: 9}])
-		view.takeListing([{key: claimKey("a/slice-2"), value: {count: "many"}, revision: 9}])
+		view.applyListing([{key: claimKey("a"), value: claimOf(2, 2_000_001), revision: 9}])
+		view.applyListing([{key: claimKey("a/slice-2"), value: {count: "many"}, revision: 9}])
 		expect(dropped.length).to.equal(2 * foreign.length + 1)
 		expect(view.sliceCount("a")).to.equal(2)
 		expect(view.claimOf("a/slice-1")?.fence).to.equal(1_000_001)
@@ -114,7 +114,7 @@
 			decodeEvacuation: () => undefined,
 			onChange: () => undefined,
 		})
-		evacuations.takeNews({revision: 3, failureDomains: ["a"]}, "a-2")
+		evacuations.applySnapshot({revision: 3, failureDomains: ["a"]}, "a-2")
 		expect(["a", "a/slice-2", "b/slice-2"].map(evacuations.isUnderWay)).to.eql([true, true, false])
 	})
 
@@ -148,7 +148,7 @@
 		const tell = (from: Member, name: string, freeCpu: number) => {
 			const room = {freeCpu: [freeCpu], totalCpu: 64_000, waitingWork: 0, labels: []}
 			const beat = {from, claims: [], rooms: {[name]: room}, isLeaving: false, configVersion: 1}
-			view.takeBeat(beat)
+			view.applyHeartbeat(beat)
 		}
 		tell(far, "b", 64_000)
 		tell(near, "a/slice-1", 30_000)
@@ -160,7 +160,7 @@
 	it("divide nothing above one that nobody has claimed", () => {
 		const names = ["a", "a/slice-2", "b/slice-1"]
 		const claims = new Map(names.map(name => [name, {failureDomain: name, fence: 1, placer}]))
-		expect(claimsInForce(claims).map(claim => claim.failureDomain)).to.eql(["a"])
+		expect(effectiveClaims(claims).map(claim => claim.failureDomain)).to.eql(["a"])
 	})
 })
 
@@ -266,7 +266,7 @@
 		const third = domain.at("a-3")
 		const fence = fenceFloorOf("a/slice-2")
 		third.hosts.expectHandover({failureDomain: "a/slice-2", fence: fence + 1}, [])
-		await Promise.all([third.claims.takeNow("a/slice-2", fence), domain.clock.advance(50)])
+		await Promise.all([third.claims.claimNow("a/slice-2", fence), domain.clock.advance(50)])
 		await domain.clock.advance(300)
 		// The list comes again, as it does all the time.
 		hosts.setExecutors(domain.records)
@@ -428,7 +428,7 @@
 	it("is not divided by an instance that is asked for a slice with a gap before it", async () => {
 		const domain = createSlicedDomain({instances: 2, executors: 4})
 		await domain.clock.advance(1_000)
-		const asked = domain.at("a-2").claims.takeNow("a/slice-3", fenceFloorOf("a/slice-3"))
+		const asked = domain.at("a-2").claims.claimNow("a/slice-3", fenceFloorOf("a/slice-3"))
 		expect(await asked).to.equal(false)
 		expect(domain.placers().length).to.equal(1)
 	})
--- a/packages/jobs/test/sound-rooms.test.ts
+++ b/packages/jobs/test/sound-rooms.test.ts
@@ -2,7 +2,7 @@
  * What other instances say of their room when it cannot be true: work would go where nothing is free, or an instance would
  * stop at a figure that is none.
  */
-import type {Beat, Claim, Member, Room} from "@cottonwood/jobs"
+import type {Heartbeat, Claim, Member, Room} from "@cottonwood/jobs"
 import {createFleetView, hasRoom} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
@@ -40,15 +40,15 @@
 		() => undefined,
 		reason => void broken.push(reason),
 	)
-	const beat = (rooms: unknown): Beat => ({
+	const beat = (rooms: unknown): Heartbeat => ({
 		from: other,
 		claims: [],
-		rooms: rooms as Beat["rooms"],
+		rooms: rooms as Heartbeat["rooms"],
 		isLeaving: false,
 		configVersion: 1,
 	})
-	const tellNews = (rooms: unknown) => view.takeRoomNews({session: "b-s", rooms: rooms as never})
-	return {view, broken, tellBeat: (rooms: unknown) => view.takeBeat(beat(rooms)), tellNews}
+	const tellNews = (rooms: unknown) => view.applyRoomUpdate({session: "b-s", rooms: rooms as never})
+	return {view, broken, tellBeat: (rooms: unknown) => view.applyHeartbeat(beat(rooms)), tellNews}
 }
 
 describe("told room", () => {
--- a/packages/jobs/test/speed-keeping.test.ts
+++ b/packages/jobs/test/speed-keeping.test.ts
@@ -3,7 +3,7 @@
  */
 import {createJobMetrics, silentLog, type Claim} from "@cottonwood/jobs"
 import {
-	createSpeedKeeping,
+	createSpeedStores,
 	decodeSpeeds,
 	encodeSpeeds,
 	speedKey,
@@ -22,7 +22,7 @@
 /** An instance: what it knows is lost with it. */
 function createKeeping(clock: FakeClock, store: ReturnType<typeof createFakeStore>["store"]) {
 	const metrics = createJobMetrics()
-	return {metrics, keeping: createSpeedKeeping({clock, store, log: silentLog, metrics})}
+	return {metrics, keeping: createSpeedStores({clock, store, log: silentLog, metrics})}
 }
 
 function createWorld() {
@@ -31,7 +31,11 @@
 	return {clock, fake, store, begin: () => createKeeping(clock, store)}
 }
 
-const speed = (slowness: number, weight = 9): Speed => ({mean: Math.log(slowness), weight, odd: 0})
+const speed = (slowness: number, weight = 9): Speed => ({
+	mean: Math.log(slowness),
+	weight,
+	outliers: 0,
+})
 
 /** Names of the platform's form. */
 const idOf = (at: number) => `i-${at.toString(16).padStart(10, "0")}`
@@ -42,12 +46,12 @@
 	return {executors, labels: new Map([["a", speed(1)]])}
 }
 
-function learn(keeper: ReturnType<ReturnType<typeof createSpeedKeeping>["keep"]>, runs = 20) {
+function learn(keeper: ReturnType<ReturnType<typeof createSpeedStores>["open"]>, runs = 20) {
 	for (const [id, slowness] of [
 		["fast", 0.6],
 		["slow", 1.6],
 	] as const) {
-		keeper.speeds.meet({id, labels: ["a"]})
+		keeper.speeds.add({id, labels: ["a"]})
 		for (let run = 0; run < runs; run++) keeper.speeds.observe(id, slowness)
 	}
 }
@@ -113,45 +117,45 @@
 	it("lets a successor begin with what its predecessor knew", async () => {
 		// A placer has learnt two speeds; another instance takes the domain over.
 		const {clock, begin} = createWorld()
-		const first = begin().keeping.keep(claimOf(1))
+		const first = begin().keeping.open(claimOf(1))
 		await clock.advance(10)
 		learn(first)
 		await clock.advance(2_000)
 		first.close()
-		const second = begin().keeping.keep(claimOf(2))
-		second.speeds.meet({id: "fast", labels: ["a"]})
-		second.speeds.meet({id: "slow", labels: ["a"]})
+		const second = begin().keeping.open(claimOf(2))
+		second.speeds.add({id: "fast", labels: ["a"]})
+		second.speeds.add({id: "slow", labels: ["a"]})
 		await clock.advance(10)
-		expect(second.speeds.factorOf("fast")).to.be.lessThan(0.75)
-		expect(second.speeds.factorOf("slow")).to.be.greaterThan(1.4)
+		expect(second.speeds.expectedSlowness("fast")).to.be.lessThan(0.75)
+		expect(second.speeds.expectedSlowness("slow")).to.be.greaterThan(1.4)
 		// After twenty runs what it sees itself counts for more than what it was told.
 		for (let run = 0; run < 20; run++) second.speeds.observe("fast", 1.5)
-		expect(second.speeds.factorOf("fast")).to.be.greaterThan(Math.sqrt(0.6 * 1.5))
+		expect(second.speeds.expectedSlowness("fast")).to.be.greaterThan(Math.sqrt(0.6 * 1.5))
 	})
 
 	it("has speeds after a loss of all instances as soon as the store answers once", async () => {
 		// All instances lose power at once, half a second after the last write; only the store is left.
 		const {clock, begin} = createWorld()
-		const before = begin().keeping.keep(claimOf(1))
+		const before = begin().keeping.open(claimOf(1))
 		await clock.advance(10)
 		learn(before)
 		await clock.advance(2_500)
 		before.close()
 		await clock.advance(560)
-		const after = begin().keeping.keep(claimOf(2))
+		const after = begin().keeping.open(claimOf(2))
 		await clock.advance(1)
-		after.speeds.meet({id: "slow", labels: ["a"]})
-		expect(after.speeds.factorOf("slow")).to.be.greaterThan(1.4)
+		after.speeds.add({id: "slow", labels: ["a"]})
+		expect(after.speeds.expectedSlowness("slow")).to.be.greaterThan(1.4)
 		// A new life of an executor begins from its label.
-		after.speeds.meet({id: "new", labels: ["a"]})
-		expect(after.speeds.factorOf("new")).to.not.equal(after.speeds.factorOf("slow"))
+		after.speeds.add({id: "new", labels: ["a"]})
+		expect(after.speeds.expectedSlowness("new")).to.not.equal(after.speeds.expectedSlowness("slow"))
 	})
 
 	it("places on while the store is away, asks again, and joins what it learnt meanwhile", async () => {
 		const {clock, fake, begin} = createWorld()
 		fake.write(speedKey("a"), {fence: 1, executors: {slow: [9, 9], fast: [-10, 9]}, labels: {}})
 		fake.isAway = true
-		const keeper = begin().keeping.keep(claimOf(2))
+		const keeper = begin().keeping.open(claimOf(2))
 		await clock.advance(3_000)
 		learn(keeper, 1)
 		await clock.advance(3_000)
@@ -159,13 +163,13 @@
 		expect(fake.puts).to.equal(0)
 		fake.isAway = false
 		await clock.advance(500)
-		expect(keeper.speeds.factorOf("slow")).to.be.greaterThan(1.4)
-		expect(keeper.speeds.factorOf("fast")).to.be.lessThan(0.75)
+		expect(keeper.speeds.expectedSlowness("slow")).to.be.greaterThan(1.4)
+		expect(keeper.speeds.expectedSlowness("fast")).to.be.lessThan(0.75)
 	})
 
 	it("writes when there is something to tell, and tells it again when the store did not take it", async () => {
 		const {clock, fake, begin} = createWorld()
-		const keeper = begin().keeping.keep(claimOf(1))
+		const keeper = begin().keeping.open(claimOf(1))
 		await clock.advance(5_000)
 		expect(fake.puts, "nothing is known").to.equal(0)
 		learn(keeper)
@@ -192,7 +196,7 @@
 		// The list comes in late, or in part: a placer that is lost meanwhile must not take the others' speeds with it.
 		const {clock, fake, begin} = createWorld()
 		fake.write(speedKey("a"), {fence: 1, executors: {late: [9, 9]}, labels: {}})
-		const keeper = begin().keeping.keep(claimOf(2))
+		const keeper = begin().keeping.open(claimOf(2))
 		await clock.advance(10)
 		learn(keeper)
 		await clock.advance(2_500)
@@ -204,10 +208,10 @@
 		const {clock, fake, begin} = createWorld()
 		fake.write(speedKey("a"), {executors: {slow: [9, 9], gone: [9, 9], bad: ["x", 1]}, labels: 7})
 		const {metrics, keeping} = begin()
-		const keeper = keeping.keep(claimOf(2))
-		keeper.speeds.meet({id: "slow", labels: []})
+		const keeper = keeping.open(claimOf(2))
+		keeper.speeds.add({id: "slow", labels: []})
 		await clock.advance(6_000)
-		expect(keeper.speeds.factorOf("slow")).to.be.greaterThan(1.3)
+		expect(keeper.speeds.expectedSlowness("slow")).to.be.greaterThan(1.3)
 		const text = await metrics.text()
 		expect(text).to.include('cottonwood_broken_assumptions{reason="speed_entry"} 2')
 		expect(text).to.include('cottonwood_speeds_dropped{reason="not listed"} 1')
--- a/packages/jobs/test/speeds-taken-over.test.ts
+++ b/packages/jobs/test/speeds-taken-over.test.ts
@@ -3,9 +3,9 @@
  */
 import {createJobMetrics, silentLog, type Claim} from "@cottonwood/jobs"
 import {
-	createHosts,
-	createKeptSpeeds,
-	createSpeedKeeping,
+	createHostedPlacers,
+	createPersistentSpeeds,
+	createSpeedStores,
 	speedKey,
 	type Keeper,
 } from "@cottonwood/jobs/internals"
@@ -29,7 +29,7 @@
 	const metrics = createJobMetrics()
 	const keeper = {...NO_KEPT_RUNS, begin: ignore, close: ignore, jobCount: () => 0}
 	const orders = new FakeFleet(clock)
-	const hosts = createHosts({
+	const hosts = createHostedPlacers({
 		clock,
 		orders,
 		advisor: NO_ADVISOR,
@@ -43,7 +43,7 @@
 		createKeeper: () => keeper as unknown as Keeper,
 		executorsOf: () => EXECUTORS,
 		isEvacuated: () => false,
-		keepSpeeds: createSpeedKeeping({clock, store, log: silentLog, metrics}).keep,
+		keepSpeeds: createSpeedStores({clock, store, log: silentLog, metrics}).open,
 	})
 	const claimOf = (fence: number): Claim => ({failureDomain: "a", fence, placer: self})
 	async function place(task: string) {
@@ -121,9 +121,9 @@
 	async function stuckAfterMs(slowness: number): Promise<number> {
 		const clock = createFakeClock()
 		const orders = new FakeExecutors(clock)
-		const speeds = createKeptSpeeds(() => clock.now())
-		const told = new Map([["e1", {mean: Math.log(slowness), weight: 9, odd: 0}]])
-		speeds.inherit({executors: told, labels: new Map()})
+		const speeds = createPersistentSpeeds(() => clock.now())
+		const told = new Map([["e1", {mean: Math.log(slowness), weight: 9, outliers: 0}]])
+		speeds.merge({executors: told, labels: new Map()})
 		const placer = createTestPlacer({clock, orders, speeds})
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -152,7 +152,7 @@
 		// it is, that would pass for three times its estimates, from where an executor gets probes only.
 		const clock = createFakeClock()
 		const orders = new FakeFleet(clock)
-		const speeds = createKeptSpeeds(() => clock.now())
+		const speeds = createPersistentSpeeds(() => clock.now())
 		const metrics = createJobMetrics()
 		const placer = createTestPlacer({clock, orders, speeds, metrics})
 		placer.setExecutors([record("e1"), record("e2")])
@@ -172,7 +172,7 @@
 			await run(`s.0.0.${at}`, "e2", 200)
 		}
 		await run("t.0.0.0", "e2", 1_400)
-		expect(speeds.factorOf("e1")).to.be.within(1.5, 2.5)
+		expect(speeds.expectedSlowness("e1")).to.be.within(1.5, 2.5)
 		expect(await metrics.text()).to.not.include('cottonwood_executors_aside{reason="aside"}')
 	})
 })
--- a/packages/jobs/test/speeds.test.ts
+++ b/packages/jobs/test/speeds.test.ts
@@ -4,7 +4,7 @@
 import {seededRandom} from "@cottonwood/standins"
 import {expect} from "chai"
 import {
-	createKeptSpeeds,
+	createPersistentSpeeds,
 	createSpeeds,
 	expectedOf,
 	learnRun,
@@ -90,37 +90,37 @@
 		// A step that is always the same is slow to believe it, or noisy for ever.
 		const learnt = createSpeeds()
 		for (let run = 0; run < 10; run++) learnt.observe("e", 5)
-		expect(learnt.factorOf("e")).to.equal(1)
+		expect(learnt.expectedSlowness("e")).to.equal(1)
 	})
 
 	it("of a label tells of executors with it that have run nothing", () => {
-		const speeds = createKeptSpeeds(() => 0)
+		const speeds = createPersistentSpeeds(() => 0)
 		for (let at = 0; at < 12; at++) {
-			speeds.meet({id: `b${at}`, labels: ["b", `r${at}`]})
+			speeds.add({id: `b${at}`, labels: ["b", `r${at}`]})
 			for (let run = 0; run < 5; run++) speeds.observe(`b${at}`, 1.6)
 		}
-		speeds.meet({id: "new-b", labels: ["b", "r1"]})
-		speeds.meet({id: "new-a", labels: ["a", "r1"]})
-		expect(speeds.factorOf("new-b")).to.be.within(1.45, 1.6)
-		expect(speeds.factorOf("new-a")).to.equal(1)
+		speeds.add({id: "new-b", labels: ["b", "r1"]})
+		speeds.add({id: "new-a", labels: ["a", "r1"]})
+		expect(speeds.expectedSlowness("new-b")).to.be.within(1.45, 1.6)
+		expect(speeds.expectedSlowness("new-a")).to.equal(1)
 		// Its own runs soon count for more.
 		for (let run = 0; run < 12; run++) speeds.observe("new-b", 0.6)
-		expect(speeds.factorOf("new-b")).to.be.lessThan(0.75)
+		expect(speeds.expectedSlowness("new-b")).to.be.lessThan(0.75)
 	})
 
 	it("of one life of an executor ends with it", () => {
-		const speeds = createKeptSpeeds(() => 0)
-		speeds.meet({id: "e1", labels: ["a"]})
+		const speeds = createPersistentSpeeds(() => 0)
+		speeds.add({id: "e1", labels: ["a"]})
 		for (let run = 0; run < 20; run++) speeds.observe("e1", 3)
 		speeds.forget("e1")
-		speeds.meet({id: "e2", labels: ["c"]})
-		expect(speeds.factorOf("e1")).to.equal(1)
-		expect(speeds.factorOf("e2")).to.equal(1)
+		speeds.add({id: "e2", labels: ["c"]})
+		expect(speeds.expectedSlowness("e1")).to.equal(1)
+		expect(speeds.expectedSlowness("e2")).to.equal(1)
 	})
 
 	it("by two placers is joined by what each rests on", () => {
-		const before = {mean: Math.log(2), weight: 9, odd: 0}
-		const now = {mean: Math.log(1), weight: 1, odd: 0}
+		const before = {mean: Math.log(2), weight: 9, outliers: 0}
+		const now = {mean: Math.log(1), weight: 1, outliers: 0}
 		expect(Math.exp(mergeSpeeds(before, now).mean)).to.be.within(1.8, 1.9)
 		expect(mergeSpeeds({...before, weight: 0}, {...now, weight: 0}).weight).to.equal(0)
 		expect(expectedOf()).to.equal(0)
--- a/packages/jobs/test/strain.test.ts
+++ b/packages/jobs/test/strain.test.ts
@@ -1,7 +1,7 @@
 /**
  * An instance that cannot keep up notices it by its own timers.
  */
-import {watchStrain} from "@cottonwood/jobs/internals"
+import {createLagMonitor} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 
@@ -16,7 +16,7 @@
 describe("strain", () => {
 	it("is noticed when timers fire late without a pause, and lasts a while", async () => {
 		const clock = createFakeClock()
-		const strain = watchStrain(clock)
+		const strain = createLagMonitor(clock)
 		await clock.advance(4_000)
 		await runLate(clock, 60, 4)
 		expect(strain.isStrained()).to.equal(false)
@@ -31,7 +31,7 @@
 
 	it("is not taken from one standstill, from small delays, or from a process that has just started", async () => {
 		const clock = createFakeClock()
-		const strain = watchStrain(clock)
+		const strain = createLagMonitor(clock)
 		await runLate(clock, 60, 12)
 		expect(strain.isStrained()).to.equal(false)
 		await clock.advance(4_000)
--- a/packages/jobs/test/succession.test.ts
+++ b/packages/jobs/test/succession.test.ts
@@ -60,7 +60,7 @@
 		const successor = place(8, {orphansWaitMs: HANDOVER_WAIT_MS, log})
 		successor.setExecutors(listed.map(id => record(id)))
 		await clock.advance(5)
-		first.giveAll(({req}, from) => {
+		first.handOverAll(({req}, from) => {
 			if (from) successor.adopt(req, from, onEnd)
 		})
 		return successor
--- a/packages/jobs/test/support/replay/replay-world.ts
+++ b/packages/jobs/test/support/replay/replay-world.ts
@@ -5,7 +5,7 @@
 import {
 	createJobMetrics,
 	silentLog,
-	type Beat,
+	type Heartbeat,
 	type Claim,
 	type ExecutorRecord,
 	type Job,
@@ -16,21 +16,21 @@
 	type Room,
 } from "@cottonwood/jobs"
 import {
-	createBeats,
+	createHeartbeats,
 	createDispatcher,
 	createFleetView,
-	createHosts,
+	createHostedPlacers,
 	createOverflow,
-	lentCoresOf,
-	createWholeJobs,
-	type Beats,
+	borrowableCoresOf,
+	createWholeJobMoves,
+	type Heartbeats,
 	type Dispatcher,
-	type Hosts,
+	type HostedPlacers,
 	type JobReply,
 	type Keeper,
 	type PeerCall,
 	type Peers,
-	type SpeedKeeper,
+	type SpeedStore,
 	type TaskReply,
 } from "@cottonwood/jobs/internals"
 import {LEASE_RULE, NO_ADVISOR, NO_KEPT_RUNS, STAYING} from "../requests.js"
@@ -61,7 +61,7 @@
 	readonly clock: ReplayClock
 	readonly random: () => number
 	/** Makes what keeps the speeds of a domain's executors; without it each placer learns for itself. */
-	readonly keepSpeeds?: (clock: ReplayClock, executors: readonly ReplayExecutor[]) => SpeedKeeper
+	readonly keepSpeeds?: (clock: ReplayClock, executors: readonly ReplayExecutor[]) => SpeedStore
 	/** Jobs are judged by forecasts. */
 	readonly isForecasting?: boolean
 	/** Weights and floors, by kind. */
@@ -91,8 +91,8 @@
 
 interface Instance {
 	readonly self: Member
-	readonly hosts: Hosts
-	readonly beats: Beats
+	readonly hosts: HostedPlacers
+	readonly beats: Heartbeats
 	readonly dispatcher: Dispatcher
 }
 
@@ -240,7 +240,7 @@
 		const isEvacuated = (domain: string) => evacuated.has(domain)
 		const {crossDomainMs} = options
 		const domainChoice = crossDomainMs === undefined ? "own" : "forecast"
-		const {rooms, ...wholeJobs} = createWholeJobs(
+		const {rooms, ...wholeJobs} = createWholeJobMoves(
 			{...parts, isEvacuated},
 			{domainChoice, crossDomainMs: crossDomainMs ?? 0},
 		)
@@ -252,7 +252,7 @@
 			close: () => undefined,
 			jobCount: () => 0,
 		} as unknown as Keeper
-		const hosts: Hosts = createHosts({
+		const hosts: HostedPlacers = createHostedPlacers({
 			...common,
 			orders: createReplayOrders(byId),
 			advisor: NO_ADVISOR,
@@ -265,22 +265,23 @@
 			keepSpeeds: keepSpeeds && (() => keepSpeeds(clock, executors)),
 			forecasting: options.isForecasting
 				? {
-						lentCores: () => lentCoresOf(view, self, clock.now()),
+						borrowableCores: () => borrowableCoresOf(view, self, clock.now()),
 						queues: () => queues.map(queue => ({...queue, ...options.shares?.[queue.name]})),
 					}
 				: undefined,
 			...wholeJobs,
 		})
-		const ownBeat = (): Beat => ({
+		const ownBeat = (): Heartbeat => ({
 			from: self,
 			claims: view.claims(),
 			rooms: hosts.rooms(),
 			isLeaving: false,
 			configVersion: CONFIG_VERSION,
 		})
-		function takeBeat(beat: Beat) {
-			view.takeBeat(beat)
-			if (Object.values(beat.rooms).some((room: Room) => room.freeCpu.length > 0)) hosts.walk()
+		function takeBeat(beat: Heartbeat) {
+			view.applyHeartbeat(beat)
+			if (Object.values(beat.rooms).some((room: Room) => room.freeCpu.length > 0))
+				hosts.placeWaiting()
 		}
 		const dispatcher = createDispatcher({
 			...common,
@@ -309,20 +310,20 @@
 			const claim: Claim = {failureDomain: other, fence: 1, placer}
 			view.noteClaim(claim)
 		}
-		const beats: Beats = createBeats({
+		const beats: Heartbeats = createHeartbeats({
 			...common,
 			send(address, message) {
 				const to = instanceAt(address)
 				clock.schedule(PEER_WAY_MS, () => {
-					if (!isApart(id, to)) instances.get(to)?.beats.take(message)
+					if (!isApart(id, to)) instances.get(to)?.beats.receive(message)
 				})
 			},
-			own: ownBeat,
+			ownHeartbeat: ownBeat,
 			rooms: hosts.rooms,
-			onBeat: takeBeat,
+			onHeartbeat: takeBeat,
 			onRoomNews(news) {
-				view.takeRoomNews(news)
-				if (Object.values(news.rooms).some(({freeCpu}) => freeCpu.length > 0)) hosts.walk()
+				view.applyRoomUpdate(news)
+				if (Object.values(news.rooms).some(({freeCpu}) => freeCpu.length > 0)) hosts.placeWaiting()
 			},
 			linkMbps: 1_000,
 			needsOthers: () => false,
--- a/packages/jobs/test/support/requests.ts
+++ b/packages/jobs/test/support/requests.ts
@@ -58,5 +58,5 @@
 	isRestoring: () => false,
 	knows: () => false,
 	adopt: () => false,
-	noteStrayEnd: () => undefined,
+	noteUnclaimedEnd: () => undefined,
 }
--- a/packages/jobs/test/support/sliced-domain.ts
+++ b/packages/jobs/test/support/sliced-domain.ts
@@ -6,7 +6,7 @@
 import {
 	createJobMetrics,
 	silentLog,
-	type Beat,
+	type Heartbeat,
 	type Claim,
 	type ExecutorOrders,
 	type ExecutorRecord,
@@ -15,22 +15,22 @@
 } from "@cottonwood/jobs"
 import {
 	claimKey,
-	createBeats,
+	createHeartbeats,
 	createClaimsLoop,
 	createDispatcher,
 	createFleetView,
 	createHandover,
-	createHosts,
+	createHostedPlacers,
 	createOverflow,
 	createSlicing,
 	executorsOfSlice,
-	nodeKey,
+	memberKey,
 	sliceNames,
-	type Beats,
+	type Heartbeats,
 	type ClaimsLoop,
 	type Dispatcher,
 	type Handover,
-	type Hosts,
+	type HostedPlacers,
 	type Keeper,
 	type PeerCall,
 	type Peers,
@@ -57,8 +57,8 @@
 
 interface Instance {
 	readonly self: Member
-	readonly hosts: Hosts
-	readonly beats: Beats
+	readonly hosts: HostedPlacers
+	readonly beats: Heartbeats
 	readonly claims: ClaimsLoop
 	readonly handover: Handover
 	readonly dispatcher: Dispatcher
@@ -173,7 +173,7 @@
 		})
 	}
 
-	const emptyBeat = (from: Member): Beat => {
+	const emptyBeat = (from: Member): Heartbeat => {
 		return {from, claims: [], rooms: {}, isLeaving: false, configVersion: 1}
 	}
 
@@ -209,7 +209,7 @@
 			jobCount: () => 0,
 		} as unknown as Keeper
 		const isEvacuated = (domain: string) => evacuated.has(domain.split("/")[0] as string)
-		const hosts: Hosts = createHosts({
+		const hosts: HostedPlacers = createHostedPlacers({
 			...common,
 			orders: ordersOf(is),
 			advisor: NO_ADVISOR,
@@ -221,28 +221,28 @@
 			isEvacuated,
 			slices: slicing,
 		})
-		const ownBeat = (): Beat => {
+		const ownBeat = (): Heartbeat => {
 			const news = {claims: view.claims(), rooms: hosts.rooms(), isLeaving: is.leaving}
 			return {...emptyBeat(self), ...news}
 		}
-		const beats: Beats = createBeats({
+		const beats: Heartbeats = createHeartbeats({
 			...common,
 			send(address, message) {
 				const there = instances.get(address.split(":")[0] as string)
 				if (is.dead || is.cutFromPeers) return
 				clock.schedule(WAY_MS, () => {
-					if (there && !there.is.dead && !there.is.cutFromPeers) there.beats.take(message)
+					if (there && !there.is.dead && !there.is.cutFromPeers) there.beats.receive(message)
 				})
 			},
-			own: ownBeat,
+			ownHeartbeat: ownBeat,
 			rooms: hosts.rooms,
-			onBeat(beat) {
-				view.takeBeat(beat)
-				hosts.walk()
+			onHeartbeat(beat) {
+				view.applyHeartbeat(beat)
+				hosts.placeWaiting()
 			},
 			onRoomNews(news) {
-				view.takeRoomNews(news)
-				hosts.walk()
+				view.applyRoomUpdate(news)
+				hosts.placeWaiting()
 			},
 			needsOthers: () => false,
 			linkMbps: 1_000,
@@ -276,10 +276,10 @@
 			isEvacuated,
 		})
 		function hearStore() {
-			if (!is.dead && !is.cutFromStore) view.takeListing([...fake.items.values()])
+			if (!is.dead && !is.cutFromStore) view.applyListing([...fake.items.values()])
 			clock.schedule(NEWS_MS, hearStore)
 		}
-		fake.write(nodeKey(name), self)
+		fake.write(memberKey(name), self)
 		instances.set(name, {self, hosts, beats, claims, handover, dispatcher, view, is})
 		hearStore()
 	}
@@ -344,11 +344,11 @@
 			executorsOfSlice(sliceNames(DOMAIN, count)[index] as string, count, records).length,
 		kill(name: string) {
 			at(name).is.dead = true
-			fake.items.delete(nodeKey(name))
+			fake.items.delete(memberKey(name))
 		},
 		async leave(name: string) {
 			at(name).is.leaving = true
-			await at(name).handover.giveAllAway()
+			await at(name).handover.handOverAll()
 		},
 		evacuate(isUnderWay: boolean) {
 			if (isUnderWay) evacuated.add(DOMAIN)
--- a/packages/jobs/test/task-queue.test.ts
+++ b/packages/jobs/test/task-queue.test.ts
@@ -1,16 +1,16 @@
 /**
  * The order in which waiting tasks start.
  */
-import {createTaskQueue, type TaskRequest, type Waiting} from "@cottonwood/jobs/internals"
+import {createTaskQueue, type TaskRequest, type WaitingTask} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {taskRequest} from "./support/requests.js"
 
-function waiting(task: string, extra: Partial<TaskRequest> = {}): Waiting {
+function waiting(task: string, extra: Partial<TaskRequest> = {}): WaitingTask {
 	const req = taskRequest(task, extra)
 	return {req, since: 0, onEnd: () => undefined, onStart: () => undefined}
 }
 
-const order = (items: readonly Waiting[], now: number) => {
+const order = (items: readonly WaitingTask[], now: number) => {
 	const queue = createTaskQueue()
 	for (const item of items) queue.push(item)
 	return queue.inOrder(now).map(group => group.waiting[0]?.req.job)
--- a/packages/jobs/test/uneven-executors.test.ts
+++ b/packages/jobs/test/uneven-executors.test.ts
@@ -2,9 +2,9 @@
  * Executors of three speeds: where a placer sends what, what it makes of its room, and what it is worth to know them from the start.
  */
 import {
-	createKeptSpeeds,
+	createPersistentSpeeds,
 	speedCost,
-	type KeptSpeeds,
+	type PersistentSpeeds,
 	type TaskRequest,
 } from "@cottonwood/jobs/internals"
 import type {ExecutorRecord} from "@cottonwood/jobs"
@@ -16,11 +16,11 @@
 import {UNEVEN_WORK} from "./support/replay/replay-work.js"
 import {taskRequest} from "./support/requests.js"
 
-const speedOf = (slowness: number) => ({mean: Math.log(slowness), weight: 9, odd: 0})
+const speedOf = (slowness: number) => ({mean: Math.log(slowness), weight: 9, outliers: 0})
 
-function inherit(speeds: KeptSpeeds, slowness: Readonly<Record<string, number>>) {
+function inherit(speeds: PersistentSpeeds, slowness: Readonly<Record<string, number>>) {
 	const executors = new Map(Object.entries(slowness).map(([id, times]) => [id, speedOf(times)]))
-	speeds.inherit({executors, labels: new Map()})
+	speeds.merge({executors, labels: new Map()})
 }
 
 /** A placer whose executors' speeds a predecessor has learnt. */
@@ -30,7 +30,7 @@
 ) {
 	const clock = createFakeClock()
 	const orders = new FakeExecutors(clock)
-	const speeds = createKeptSpeeds(() => clock.now())
+	const speeds = createPersistentSpeeds(() => clock.now())
 	inherit(speeds, slowness)
 	const placer = createTestPlacer({clock, orders, speeds})
 	placer.setExecutors(Object.keys(slowness).map(id => record(id, {capacity})))
@@ -57,7 +57,7 @@
 		expect(await place("j.0.0.0", {estimateMs: 100, startBy: 60})).to.equal("fast")
 		const {place: placeIdle, speeds} = await createWorld({slow: 1.6, fast: 0.6})
 		expect(await placeIdle("k.0.0.0", {estimateMs: 100, startBy: 2_000})).to.equal("slow")
-		expect(speeds.factorOf("slow")).to.be.greaterThan(1.4)
+		expect(speeds.expectedSlowness("slow")).to.be.greaterThan(1.4)
 		expect(await placeIdle("l.0.0.0", {estimateMs: 100, startBy: 40})).to.equal("fast")
 	})
 
@@ -101,7 +101,7 @@
 		for (let at = 0; at < 3; at++)
 			await place(`j.0.0.${at}`, {estimateMs: 200, startBy: 5_000, uselessAt: 60_000})
 		for (orders.percent = 1; orders.percent < 10; orders.percent++) await clock.advance(50)
-		expect(speeds.factorOf("e1")).to.be.greaterThan(4)
+		expect(speeds.expectedSlowness("e1")).to.be.greaterThan(4)
 	})
 
 	/** The first second after a loss of all, at a crest: placers that know nothing, and placers that were told. */
@@ -113,7 +113,7 @@
 		troubles: [],
 	}
 	const toldSpeeds: ReplayDay["keepSpeeds"] = (clock, executors) => {
-		const speeds = createKeptSpeeds(() => clock.now())
+		const speeds = createPersistentSpeeds(() => clock.now())
 		const pairs = executors.map(({record: {id}, faults}) => [id, faults.slowness] as const)
 		inherit(speeds, Object.fromEntries(pairs))
 		return {speeds, close: () => undefined}
--- a/packages/jobs/test/unwanted-runs.test.ts
+++ b/packages/jobs/test/unwanted-runs.test.ts
@@ -7,7 +7,7 @@
 	KeptRuns,
 	Placer,
 	PlacerDeps,
-	RunningAt,
+	RunLocation,
 	TaskEnd,
 	TaskRequest,
 } from "@cottonwood/jobs/internals"
@@ -71,7 +71,7 @@
 
 	/** Gives all runs on, as a leaving placer does. */
 	function giveAll(from: Placer, to: Placer) {
-		from.giveAll(({req}, runsAt?: RunningAt) => {
+		from.handOverAll(({req}, runsAt?: RunLocation) => {
 			if (runsAt) to.adopt(req, runsAt, end => void ends.push({...end, task: req.task}))
 		})
 	}
--- a/packages/standins/src/capacity/slopes.ts
+++ b/packages/standins/src/capacity/slopes.ts
@@ -181,7 +181,7 @@
 		journal: () => journal,
 		execute: () => Promise.resolve({ok: true, value: {lot: "A-7", boards: 12}}),
 		admit: () => ok(undefined),
-		askPast: () => Promise.resolve(undefined),
+		askPastOwner: () => Promise.resolve(undefined),
 		retentionMs: () => 600_000,
 		explainer: createExplainer(Date.now),
 		count: () => undefined,
--- a/packages/wire/src/json-client.ts
+++ b/packages/wire/src/json-client.ts
@@ -48,7 +48,7 @@
 			readonly cause: string
 			readonly wasSent: boolean
 			readonly wasRefused: boolean
-			readonly wantedAt: number
+			readonly lastConfirmedAt: number
 	  }
 
 /** There is none, and an attempt has got nowhere a short while ago. */
@@ -57,7 +57,7 @@
 	cause: "no connection in time",
 	wasSent: false,
 	wasRefused: false,
-	wantedAt: -Infinity,
+	lastConfirmedAt: -Infinity,
 }) satisfies JsonReply
 
 export interface JsonCall {
@@ -148,7 +148,13 @@
 			const wasRefused = cause.includes(REFUSED)
 			if (current === exchange) current = undefined
 			for (const {settle, sentAt, wantedAt} of [...pending.values()])
-				settle({type: "no answer", cause, wasSent: sentAt !== undefined, wasRefused, wantedAt})
+				settle({
+					type: "no answer",
+					cause,
+					wasSent: sentAt !== undefined,
+					wasRefused,
+					lastConfirmedAt: wantedAt,
+				})
 			pending.clear()
 		}
 
@@ -187,7 +193,7 @@
 			if (!pending.delete(call.id)) return
 			const {sentAt, wantedAt} = call
 			const wasSent = sentAt !== undefined
-			call.settle({type: "no answer", cause, wasSent, wasRefused: false, wantedAt})
+			call.settle({type: "no answer", cause, wasSent, wasRefused: false, lastConfirmedAt: wantedAt})
 			if (wasSent) send({id: call.id, cancel: true})
 		}
 
@@ -287,6 +293,12 @@
 
 function replyOf({value, error}: AnswerFrame, wantedAt: number): JsonReply {
 	if (error !== undefined)
-		return {type: "no answer", cause: error, wasSent: true, wasRefused: false, wantedAt}
+		return {
+			type: "no answer",
+			cause: error,
+			wasSent: true,
+			wasRefused: false,
+			lastConfirmedAt: wantedAt,
+		}
 	return {type: "answer", value}
 }
--- a/packages/wire/test/json-service.test.ts
+++ b/packages/wire/test/json-service.test.ts
@@ -122,12 +122,12 @@
 		const lostAt = systemClock.now()
 		server.close()
 		const [old, last] = await Promise.all([stale.reply, fresh.reply])
-		expect(old).to.include({type: "no answer", wantedAt: staleAt})
+		expect(old).to.include({type: "no answer", lastConfirmedAt: staleAt})
 		expect(last)
-			.to.have.property("wantedAt")
+			.to.have.property("lastConfirmedAt")
 			.that.is.within(lostAt - 250, lostAt + 20)
 		// Both are processes of one clock here.
-		expect(toldAt).to.be.at.most((last as {wantedAt: number}).wantedAt)
+		expect(toldAt).to.be.at.most((last as {lastConfirmedAt: number}).lastConfirmedAt)
 		client.close()
 	})
 
