--- a/packages/jobs/src/link/executor-clock.ts
+++ b/packages/jobs/src/link/executor-clock.ts
@@ -1,36 +1,44 @@
 /**
- * What is known of an executor's steady clock, and until when its lease can last.
+ * Estimates an executor's monotonic clock and when the leases requested on it end.
  *
- * All lease times are on the executor's clock, which may run slow. Both asking for a lease and judging that it has ended go
- * by the lowest reading possible: no lease lasts longer than was meant. A lease that another placer asked for is
- * not known here, so the longest one is presumed.
+ * Lease times are on the executor's clock, which may run slow. Requesting a lease and judging that
+ * it has ended both use the lowest possible reading, so no lease lasts longer than intended. A
+ * lease that another placer requested is unknown here; the longest one is assumed.
  */
 import {SLOWEST_RATE, type LeaseRule} from "../decide/lease-rule.js"
 
-/** Another placer may have gone by a reading that was half a second old: 2% of that, and its timers. */
+/** Another placer may use a reading half a second old: 2% drift of that, plus timer delays. */
 const OTHERS_READING_MS = 20
 
 export interface ExecutorClock {
-	/** Notes a reading that has just arrived. */
+	/** Records a reading that has just arrived. */
 	observe(clockMs: number, now: number): void
-	/** How old the last reading is, in milliseconds; undefined before the first one. */
+	/** Age of the last reading in milliseconds; undefined before the first one. */
 	readingAgeMs(now: number): number | undefined
-	/** The lowest reading possible now; undefined before the first one. */
+	/**
+	 * The lowest possible reading of the executor's clock now; undefined before the first answer.
+	 */
 	lowestReading(now: number): number | undefined
-	/** Notes that an order asks for a lease until then. */
+	/** Records that an order requests a lease until then, on the executor's clock. */
 	noteLease(leaseUntilMs: number): void
-	/** Notes that another placer may have asked for leases until now that last so long here, both in milliseconds. */
+	/**
+	 * Assumes that another placer may request leases until `now`, each ending up to `lastsMs` later
+	 * on this process's clock.
+	 */
 	assumeLeases(lastsMs: number, now: number): void
-	/** By then everything under the leases asked for, here or by another placer, has certainly ended; on our clock. */
+	/**
+	 * The time on this process's clock by which all leases, requested here or by another placer,
+	 * have certainly ended.
+	 */
 	leasesEndAt(now: number): number
-	/** Whether it has. */
+	/** Whether all leases have certainly ended. */
 	haveLeasesEnded(now: number): boolean
 }
 
 export function createExecutorClock({endMarginMs}: Pick<LeaseRule, "endMarginMs">): ExecutorClock {
 	let reading: {readonly clockMs: number; readonly at: number} | undefined
 	let leaseUntilMs = -Infinity
-	/** On our clock, since an executor that has not answered has told no reading of its own. */
+	/** On this process's clock: an executor that has not answered has reported no reading. */
 	let presumedUntil = -Infinity
 
 	function lowest(now: number): number | undefined {
@@ -46,7 +54,7 @@
 
 	return {
 		observe(clockMs, now) {
-			// Answers may pass each other; each reading says that it was so late at least.
+			// Answers may arrive out of order; a lower reading adds nothing.
 			if (clockMs >= (lowest(now) ?? -Infinity)) reading = {clockMs, at: now}
 		},
 		readingAgeMs: now => reading && now - reading.at,
--- a/packages/jobs/src/link/executor-link.ts
+++ b/packages/jobs/src/link/executor-link.ts
@@ -1,5 +1,5 @@
 /**
- * The placer's link to one executor, as the placer uses it.
+ * A placer's connection to one executor: its capacity, its runs, and starting and stopping them.
  */
 import type {ExecutorRecord} from "../types/executor.js"
 import {adoptRun, holdLoop, offerOrphans} from "./hold.js"
@@ -21,53 +21,56 @@
 
 export interface ExecutorLink {
 	readonly record: ExecutorRecord
-	/** Takes over what the list says now. */
+	/** Takes the executor's current record. */
 	update(record: ExecutorRecord): void
-	/** Whether new work may go there. */
+	/** Whether new work may be started there. */
 	isUsable(): boolean
-	/** Whether it has answered under our fence. */
+	/** Whether the executor has accepted this placer's fence. */
 	isFenceTaken(): boolean
-	/** Whether it is likely to take work within a moment, if not now. */
+	/** Whether the executor is usable or likely to become usable within a moment. */
 	isUsableSoon(): boolean
-	/** Thousandths of a core that are free. */
+	/** Free thousandths of a core. */
 	freeCpu(): number
 	hasRoom(req: Pick<TaskRequest, "need">): boolean
-	/** Whether what runs there and the task may share the executor. */
+	/** Whether the task may share the executor with the runs there. */
 	isCompatible(req: TaskRequest): boolean
-	/** Whether one of them should run alone, and would not. */
+	/** Whether the task or a run there should have the executor to itself, but would share it. */
 	isShared(req: TaskRequest): boolean
-	/** Whether the task's caller is known to want it so lately that a run may begin there. */
+	/** Whether the task's caller was confirmed recently enough for a run to start there. */
 	isConfirmed(req: TaskRequest): boolean
-	/** Counts a task's room as taken, or as free again, while a gang is tried. */
+	/** Reserves a task's capacity while a gang is being placed. */
 	reserve(req: TaskRequest): void
 	unreserve(req: TaskRequest): void
 	runCount(): number
-	/** Whether a run of the task that nobody here started is there, or is still being stopped. */
+	/** Whether an orphan of the task is there, or is still being stopped. */
 	hasOrphanOf(task: string): boolean
-	/** Whether nothing more is asked of it. */
+	/** Whether no more orders are sent. */
 	isClosed(): boolean
-	/** Whether another life has answered in its place. */
+	/** Whether another process answered at the executor's address. */
 	isReplaced(): boolean
-	/** Whether the list no longer names it. */
+	/** Whether the executor is no longer listed. */
 	isRetired(): boolean
-	/** Whether nothing that anybody may want can be there. */
+	/** Whether the executor has no run or end that anybody may want. */
 	isIdle(): boolean
-	/** Tasks of one job's step that run there. */
+	/** Number of a job step's tasks that run there. */
 	countOf(stepName: string): number
 	start(req: TaskRequest, onEnd: OnTaskEnd): Run
-	/** Takes over a run that the placer before had there. */
+	/** Adopts a run that the previous placer had there. */
 	adopt(req: TaskRequest, isStarted: boolean, onEnd: OnTaskEnd): Run
-	/** What runs here now, with whether its start was answered. */
+	/** The current runs, and whether the start of each was answered. */
 	runs(): readonly {readonly run: Run; readonly isStarted: boolean}[]
-	/** Ends a run that nobody wants any more; its `onEnd` follows when it has ended. */
+	/** Stops a run; its `onEnd` is called when it has ended. */
 	cancel(run: Run, cause?: StopCause): void
-	/** Offers the runs that nobody here started, and ends that nobody watched, to the kept jobs. */
+	/** Offers orphans and unclaimed ends to the kept jobs. */
 	offerOrphans(): void
-	/** The list no longer names it: nothing new, and gone once nothing runs. */
+	/**
+	 * The executor is no longer listed: starts nothing new; the link can be closed once nothing
+	 * runs.
+	 */
 	retire(): void
-	/** Stops talking to it; its runs are left to the next fence. */
+	/** Closes the link; its runs are left to the next fence. */
 	close(): void
-	/** Stops talking to it and forgets its runs, which another placer has. */
+	/** Closes the link and drops its runs, which another placer has. */
 	release(): void
 }
 
--- a/packages/jobs/src/link/hold.ts
+++ b/packages/jobs/src/link/hold.ts
@@ -1,9 +1,9 @@
 /**
- * Keeps an executor's lease and learns of ends: one `hold` call is always under way.
+ * Keeps an executor's lease and learns of ends: one `hold` call, a long poll, is always under way.
  *
- * It presents the fence, renews the lease, waits for an end, and lists what runs there. A run that a
- * list asked for after the run's last answered order does not name is gone. While the executor stays
- * silent its runs count as running until its lease has certainly ended.
+ * A hold presents the fence, renews the lease, waits for an end, and lists what runs there. A run
+ * is gone when a list that was requested after the run's last answered order doesn't name it. Runs
+ * of a silent executor count as running until its lease has certainly ended.
  */
 import type {HoldReply, RunEnd, RunningTask} from "../types/executor.js"
 import {shortSession} from "../utils/log.js"
@@ -29,50 +29,51 @@
 import type {Run, TaskEnd, EndRecorded} from "../place/run.js"
 
 /**
- * A hold's answer waits this long for an end while something runs there: answers get lost on bad days,
- * and what ended is not known until the next one. Three waits and two slacks stay within the shortest lease of 1 s.
+ * How long a hold waits for an end while something runs there. Three waits and two margins fit
+ * within the shortest lease of 1 s, so two lost answers don't end it.
  */
 const BUSY_WAIT_MS = 200
-/** And this long while orders get lost; with 3.6% of them lost, 0.944 of the credit at 160 ms, 0.963 at 80 ms. */
+/** The same while orders get lost. */
 const LOSSY_WAIT_MS = 80
-/** And this long while nothing does; two more tries fit in the shortest lease of 1 s. */
+/** The same while nothing runs; two retries fit within the shortest lease of 1 s. */
 const IDLE_WAIT_MS = 400
 /**
- * And this long while runs are there that may be handed over any moment: until then nobody renews their lease, and two
- * holds that are lost after it must not end them.
+ * The same while orphans may be handed over. Nobody renews their lease until then, and two holds
+ * lost afterwards must not end it.
  */
 const UNKNOWN_WAIT_MS = 60
-/** Beyond the wait, a hold's answer is missed after this: some fifty round trips. */
+/** Time-out of a hold beyond its wait: some fifty round trips. */
 const HOLD_SLACK_MS = 110
-/** Between tries to reach a silent executor: a fraction of the lease. */
+/** Between tries to reach a silent executor; a fraction of the lease. */
 const SILENT_RETRY_MS = 60
 /**
- * Without progress for this long, and for this share of its estimate, a run counts as stuck. Progress
- * comes in hundredths, so a run eight times slower than estimated shows some in a tenth of that share.
+ * A run without progress for this long, and for this share of its expected duration, counts as
+ * stuck. Progress is reported in hundredths, so a run eight times slower than expected shows some
+ * within a tenth of that share.
  */
 const STUCK_MS = 250
 const STUCK_ESTIMATES = 0.6
 
-/** Between two holds while ends wait for the store: a few of its answers. */
+/** Between two holds while ends wait to be recorded in the store. */
 const NOTE_PAUSE_MS = 20
 
 type Held = Extract<HoldReply, {type: "held"}>
 
-/** Runs until the link is closed. */
+/** Sends holds until the link is closed. */
 export async function holdLoop(link: LinkState) {
 	const {clock} = link.deps
 	while (!link.isClosed) {
 		if (wantsSpareHold(link) && !link.hasSpareHold) void spareHoldLoop(link)
 		const isSilent = link.silentSince !== undefined
 		await holdOnce(link, link.isFenceTaken && !isSilent ? waitMsOf(link) : 0)
-		// Ends that may not be forgotten yet are listed again at once, whatever the wait.
+		// Unrecorded ends are listed again at once, without a wait.
 		if (link.unnoted.size > 0) await clock.sleep(NOTE_PAUSE_MS)
 	}
 }
 
 /**
- * A second hold beside the first, half a wait later, while orders get lost: of an end that one of them loses the
- * other tells. With 3.6% of orders lost, the short kind of request earned 0.73 of its credit with one hold.
+ * Sends a second hold beside the first, half a wait later, while orders get lost: each reports the
+ * ends that the other one loses.
  */
 async function spareHoldLoop(link: LinkState) {
 	link.hasSpareHold = true
@@ -81,7 +82,7 @@
 	link.hasSpareHold = false
 }
 
-/** Where ends are waited for, nothing is unknown, and one hold may not be enough. */
+/** Whether runs are being waited for and orders get lost, so that one hold may not suffice. */
 function wantsSpareHold(link: LinkState): boolean {
 	if (link.isClosed || !link.isFenceTaken || link.silentSince !== undefined) return false
 	const isBusy = link.runs.size > 0 && link.orphans.size === 0 && link.unnoted.size === 0
@@ -92,15 +93,15 @@
 	const {clock, orders, fence} = link.deps
 	const sentAt = clock.now()
 	stopUnheard(link)
-	// A silent executor may hear us: what is asked while it is silent must not keep its lease alive,
-	// or nobody could ever tell that its runs have ended.
+	// A silent executor may still receive orders. They must not renew its lease, or its runs could
+	// never be known to have ended.
 	const isSilent = link.silentSince !== undefined
 	const leaseUntilMs = isSilent || !needsLease(link) ? undefined : nextLeaseUntil(link)
 	const seenSerial = forgettableSerial(link)
 	const order = {fence, seenSerial, leaseUntilMs, waitMs}
 	const reply = await orders.hold(link.record, order, waitMs + holdSlackMs(link))
 	if (isOwnReply(link, reply, "hold")) noteHeld(link, reply, {sentAt, seenSerial})
-	// Others were answered meanwhile: it is only this one that got lost.
+	// Another order was answered since: only this hold was lost.
 	else if (!link.isClosed && link.answeredAt < sentAt) await noteUnheld(link, reply)
 }
 
@@ -120,14 +121,15 @@
 	if (hasLapsedSilent(link)) {
 		settleAllLost(link, "its lease ended while silent", "lease over")
 		link.orphans = new Set()
-		// What it listed before is told by nobody; the store has what counts, or the next list names it.
+		// Nobody reports the ends it listed before; the store has those that matter, or the next
+		// list names them.
 		if (link.isRetired && !isWaitedFor(link)) forgetUnwatched(link)
 	}
 	if (link.isRetired && isIdle(link)) return closeLink(link)
 	await clock.sleep(SILENT_RETRY_MS)
 }
 
-/** What was known when a hold was sent. */
+/** State at the time a hold was sent. */
 interface Asked {
 	readonly sentAt: number
 	readonly seenSerial: number
@@ -138,9 +140,10 @@
 	link.executorClock.observe(reply.clockMs, now)
 	noteAnswering(link)
 	stopUnanswered(link)
-	// Of two holds the later answer may be the older one: it lists as running what the other told the end of.
+	// Of two concurrent holds the later answer may be the older one, listing a run as running whose
+	// end the other reported.
 	const toldSerial = Math.max(seenSerial, ...reply.ends.map(({serial}) => serial))
-	// Ends that are not noted yet are listed again, not all of them at once, and to one hold at a time.
+	// Unrecorded ends are listed again, spread over answers, so a lower serial then proves nothing.
 	const isOvertaken = link.unnoted.size === 0 && toldSerial < link.seenSerial
 	for (const end of reply.ends) noteEnd(link, end)
 	if (isOvertaken) return
@@ -179,10 +182,10 @@
 function noteFenceTaken(link: LinkState) {
 	link.isFenceTaken = true
 	const {clock, log, fence, leaseRule, onRoom} = link.deps
-	// Until this answer the placer before may have asked it for leases.
+	// Until this answer the previous placer may have requested leases.
 	link.executorClock.assumeLeases(leaseRule.longestEndMs, clock.now())
 	const fields = {executor: link.record.id, fence, count: link.orphans.size}
-	log.event("executor", "fence_taken", "executor: obeys our fence.", fields)
+	log.event("executor", "fence_taken", "executor: accepted the fence.", fields)
 	onRoom()
 }
 
@@ -207,7 +210,7 @@
 	deps.log.alarm("executor", "orphan_ended", message, {...fields, outcome: how})
 }
 
-/** Kept jobs are known from now on: what the executor has listed before may be theirs. */
+/** Offers orphans and unclaimed ends to the kept jobs, once those are known. */
 export function offerOrphans(link: LinkState) {
 	claimStrayEnds(link)
 	for (const name of link.orphans) {
@@ -216,19 +219,19 @@
 	}
 }
 
-/** Lets the executor forget an end once the store has what counts of it. */
+/** Lets the executor forget an end once the store has recorded it. */
 function forgetWhenNoted({unnoted}: LinkState, serial: number, noted: EndRecorded) {
 	if (!noted) return void unnoted.delete(serial)
 	unnoted.add(serial)
 	void noted.then(() => unnoted.delete(serial))
 }
 
-/** Ends of runs that nobody watched go to the kept jobs, as soon as those are known. */
+/** Hands unclaimed ends to the kept jobs, as soon as those are known. */
 function claimStrayEnds(link: LinkState) {
 	const {kept, clock, orphansWaitUntil} = link.deps
 	if (kept.isRestoring()) return
 	for (const [name, end] of link.strayEnds) {
-		// The placer before may still hand over the run that ended.
+		// The previous placer may still hand over the run.
 		if (!kept.knows(end.task) && clock.now() < orphansWaitUntil) continue
 		link.strayEnds.delete(name)
 		const stray: TaskEnd =
@@ -240,12 +243,12 @@
 }
 
 /**
- * Takes over a run that the placer before had there. A run whose start was not answered there, and that
- * the list under our fence does not name, was refused for its fence; its room is not taken.
+ * Adopts a run of the previous placer. If its start was unanswered and the list under this fence
+ * doesn't name it, the start was refused for its old fence and the run uses no capacity.
  */
 export function adoptRun(link: LinkState, run: Run, wasStarted: boolean) {
 	const {clock, leaseRule} = link.deps
-	// Its lease is the one that the placer before asked for last, whatever the executor has told here.
+	// The previous placer may have renewed the lease after the last reading here.
 	link.executorClock.assumeLeases(leaseRule.longestEndMs, clock.now())
 	addRun(link, run)
 	const name = runName(run.req.task, run.req.run)
@@ -266,12 +269,15 @@
 	if (link.orphans.size === 0) link.deps.onRoom()
 }
 
-/** What is known of an adopted run, and how old that is, decides whether it is later told as lost. */
+/**
+ * Logs what is known of an adopted run, and how old that is, since it decides whether the run is
+ * later reported as lost.
+ */
 function noteAdopted(link: LinkState, run: Run, outcome: string) {
 	const {clock, log, fence} = link.deps
 	const {job, task, run: number, askedBy} = run.req
 	const readingAgeMs = link.executorClock.readingAgeMs(clock.now())
-	log.alarm("placer", "run_adopted", "placer: took over a run of the placer before.", {
+	log.alarm("placer", "run_adopted", "placer: adopted a run of the previous placer.", {
 		job,
 		task,
 		run: number,
--- a/packages/jobs/src/link/lease.ts
+++ b/packages/jobs/src/link/lease.ts
@@ -1,13 +1,13 @@
 /**
- * The lease of one executor: what may be asked for, by the lease rule, for all that runs there.
+ * Decides which lease to request from an executor, by the lease rule and the runs there.
  */
 import {leaseMsFor, mayStart} from "../decide/lease-rule.js"
 import type {LinkState} from "./state.js"
 import type {TaskRequest} from "../place/run.js"
 
 /**
- * Whether a run of the task would end in time for whoever may stop wanting it unheard, and could be kept beside what runs
- * there; see the lease rule.
+ * Whether the task's caller was confirmed recently enough to start a run here: the run would end in
+ * time should the caller be lost, and the runs beside it leave a lease long enough to keep it.
  */
 export function isConfirmed(link: LinkState, {confirmedAt}: TaskRequest): boolean {
 	const {clock, leaseRule} = link.deps
@@ -21,7 +21,7 @@
 	)
 }
 
-/** As of when all runs there are known to be wanted, or were before they were stopped. */
+/** The oldest time as of which every run there is confirmed by its caller. */
 function oldestConfirmation({runs}: LinkState): number {
 	let oldest = Infinity
 	for (const {req} of runs.values()) oldest = Math.min(oldest, req.confirmedAt())
@@ -29,8 +29,8 @@
 }
 
 /**
- * The end of the lease to ask for, on the executor's clock; undefined before its first answer, and while a run there has
- * not been confirmed for so long that none may be asked for.
+ * The end of the lease to request, on the executor's clock. Undefined before the executor's first
+ * answer, and while a run there has been unconfirmed for so long that no lease may be requested.
  */
 export function nextLeaseUntil(link: LinkState): number | undefined {
 	const {clock, leaseRule} = link.deps
@@ -45,10 +45,9 @@
 }
 
 /**
- * Whether the lease is to be renewed. It is not beside a run of which it is not known here whether anybody wants it: that the
- * placer before may still hand over, or that may be a kept job's once the store is read. Nor is it for runs that are being
- * stopped, or while a stop stays without an answer, at the risk of what else runs there. Where nothing runs no lease is
- * needed: a start asks for its own.
+ * Whether a hold should renew the lease. It must not while there are orphans, which the previous
+ * placer or a kept job may still claim, or while a stop is unanswered, even though other runs there
+ * may then end. Without a run to keep, no lease is needed: a start requests its own.
  */
 export function needsLease({runs, orphans, unansweredStops}: LinkState): boolean {
 	if (unansweredStops.size + orphans.size > 0) return false
--- a/packages/jobs/src/link/loss-detector.ts
+++ b/packages/jobs/src/link/loss-detector.ts
@@ -1,39 +1,47 @@
 /**
- * Whether orders or their answers get lost on the way to executors, and how long an answer takes: what a placer
- * saw of late, over all its executors.
+ * Detects whether orders to executors or their answers get lost, from all executors of one placer,
+ * and derives the time-out of an order.
  *
- * Where nothing gets lost, one call at a time to each executor is enough and the longest time-out does no harm.
- * Where some do, each one costs a short task its objective unless it is noticed within a fraction of that.
+ * Without losses one call at a time to each executor and the longest time-out suffice. With losses,
+ * each must be noticed within a fraction of a short task's slack.
  */
 import type {Clock} from "@cottonwood/core"
 
-/** Troubles of this kind last seconds. */
+/** How long the link counts as lossy after the last cluster of losses. */
 const LOSSY_MS = 3_000
-/** So many losses, one after the other, within so long: a single one is a pause of a process, here or there. */
+/**
+ * This many losses within the window count as lossy; a single one may be a pause of either process.
+ */
 const LOSSES = 3
 const LOSSES_WITHIN_MS = 1_000
-/** What is missed at one moment is one loss: a pause here makes all time-outs that are due fire at once. */
+/**
+ * Time-outs this close together count as one loss: a pause of this process makes all due ones fire
+ * at once.
+ */
 const ONE_MOMENT_MS = 20
-/** An answer is missed after so many times the slowest one of late. */
+/** The time-out is this multiple of the slowest recent answer. */
 const MISSED_FACTOR = 3
-/** How much of the slowest answer is forgotten with each faster one. */
+/** The share by which each faster answer lowers the slowest one. */
 const FORGET_SHARE = 0.02
-/** Pauses of the garbage collector here and there. */
+/** Allows for garbage collection on both sides. */
 const LEAST_TIMEOUT_MS = 25
 
 export interface LossDetector {
-	/** An order stayed without an answer, at an executor that was not silent before. */
+	/** Records that an order got no answer, at an executor that was not silent before. */
 	noteLost(): void
-	/** An order's answer took so long. */
+	/** Records how long an order's answer took. */
 	noteAnswer(tookMs: number): void
-	/** Whether orders were lost again and again a short while ago. */
+	/** Whether orders were lost repeatedly in the last seconds. */
 	isLossy(): boolean
-	/** After this an order that is answered at once counts as lost; at most `longestMs`. */
+	/**
+	 * The time after which an order that is answered at once counts as lost, in milliseconds; at
+	 * most `longestMs`.
+	 */
 	timeoutMs(longestMs: number): number
 }
 
 export function createLossDetector(clock: Clock): LossDetector {
-	/** When orders were lost of late, the last one last. */
+	/** Times of the latest losses, oldest first. */
 	let lostAt: readonly number[] = []
 	let lossyAt = -Infinity
 	let slowestMs = 0
--- a/packages/jobs/src/link/orders.ts
+++ b/packages/jobs/src/link/orders.ts
@@ -1,9 +1,9 @@
 /**
- * Starts and stops runs on an executor, whatever becomes of the orders' answers.
+ * Starts and stops runs on an executor, tolerating lost orders and answers.
  *
- * A start without an answer is repeated with the same run number, which changes nothing if the first
- * was done. If that stays without an answer too, only a stop that is answered, or the end of the lease,
- * settles whether it runs.
+ * A start without an answer is repeated with the same run number, which is idempotent. If the
+ * repeats stay unanswered too, only an answered stop or the end of the lease settles whether the
+ * task runs.
  */
 import type {StartReply} from "../types/executor.js"
 import {shortSession} from "../utils/log.js"
@@ -23,24 +23,24 @@
 import type {OnTaskEnd, Run, StopCause, TaskEnd, TaskRequest} from "../place/run.js"
 import {stepNameOf} from "../place/task-queue.js"
 
-/** A start's answer is missed after this at the latest: slower instances need tens of milliseconds. */
+/** Upper bound of a start's time-out; slow instances need tens of milliseconds. */
 const START_TIMEOUT_MS = 90
 const START_TRIES = 4
-/** Tries that give up early, each after twice the time of the one before: the same run number again does no harm. */
+/** Tries with a short time-out that doubles each time; repeating a run number is harmless. */
 const EARLY_TRIES = 2
 /**
- * No start is sent later than this after its task was placed; the tries take 360 ms. An instance that stood still in
- * between does not know yet whether its task runs elsewhere by now.
+ * No start is sent later than this after the task was placed, as the task may run elsewhere by
+ * then; the tries take up to 360 ms.
  */
 const LATEST_START_MS = 400
-/** How often a start looks whether the stops beside it are answered; a fraction of a short task. */
+/** How often a start checks whether earlier stops are answered. */
 const STOPS_POLL_MS = 10
 const STOP_TIMEOUT_MS = 150
-/** Timers here and there, and the way of the answer. */
+/** Allows for timer delays on both sides and the answer's way. */
 const STOP_MARGIN_MS = 20
-/** Between tries to stop a run on a silent executor: a fraction of the lease. */
+/** Between tries to stop a run; a fraction of the lease. */
 const STOP_RETRY_MS = 60
-/** No starts there for this long after it said that it is unhealthy. */
+/** No starts are sent for this long after the executor reported that it is unhealthy. */
 const UNHEALTHY_PAUSE_MS = 300
 
 function newRun(link: LinkState, req: TaskRequest, onEnd: OnTaskEnd): Run {
@@ -60,7 +60,7 @@
 	}
 }
 
-/** Starts a run; `onEnd` is called once, when it certainly runs no more. */
+/** Starts a run; `onEnd` is called once, when the run has certainly ended. */
 export function startRun(link: LinkState, req: TaskRequest, onEnd: OnTaskEnd): Run {
 	const run = newRun(link, req, onEnd)
 	addRun(link, run)
@@ -69,8 +69,8 @@
 }
 
 /**
- * A run that the placer before had on this executor. It is not started here: under the new fence it runs
- * already, or never will.
+ * Creates a run that the previous placer started on this executor. It is not started again: under
+ * the new fence it either runs already or never will.
  */
 export function inheritedRun(link: LinkState, req: TaskRequest, onEnd: OnTaskEnd): Run {
 	const run = newRun(link, req, onEnd)
@@ -80,7 +80,7 @@
 	return run
 }
 
-/** Ends a run; its `onEnd` follows when it has ended. */
+/** Stops a run; its `onEnd` is called when it has ended. */
 export function stopRun(link: LinkState, run: Run, cause: StopCause) {
 	if (run.state === "stopping") return
 	run.stopCause ??= cause
@@ -89,14 +89,17 @@
 	void sendStop(link, run)
 }
 
-/** Stops what nobody is known to have wanted for so long that it cuts the leases of its neighbours short. */
+/**
+ * Stops runs whose callers were unheard for so long that they shorten the leases of the runs beside
+ * them.
+ */
 export function stopUnheard(link: LinkState) {
 	const now = link.deps.clock.now()
 	for (const run of [...link.runs.values()])
 		if (isUnheard(run.req.confirmedAt(), now)) stopRun(link, run, "unheard")
 }
 
-/** From then on nobody here wants it; should no end follow, this says since when it was left over. */
+/** Logged when the stop begins, so that a run whose end never arrives can be traced. */
 function noteStopping({deps, record}: LinkState, {req}: Run, cause: StopCause) {
 	const {job, task, run, askedBy} = req
 	deps.log.alarm("placer", "run_stopping", "placer: stops a run.", {
@@ -111,16 +114,16 @@
 }
 
 /**
- * Starts that were never answered may be carried out when an executor is back, though their runs were
- * settled by the end of its lease, and so may stops; a stop that is answered makes it refuse the starts.
+ * Stops runs that were settled while a start or stop was unanswered: the executor may carry the
+ * start out late, and an answered stop makes it refuse the start.
  */
 export function stopUnanswered(link: LinkState) {
 	for (const {task, run} of link.unanswered.splice(0)) void stopOrphan(link, task, run)
 }
 
 /**
- * Stops a run that nobody here wants, again and again until that is answered: one order that is lost must not leave it
- * running beside the next run of its task.
+ * Stops a run that nobody here wants. The order is repeated until answered, so that a lost one
+ * doesn't leave the run beside the task's next run.
  */
 export async function stopOrphan(link: LinkState, task: string, run: number) {
 	const {clock, log, metrics, fence, onRoom} = link.deps
@@ -128,7 +131,7 @@
 	if (link.stoppingOrphans.has(name)) return
 	link.stoppingOrphans.add(name)
 	const fields = {task, run, executor: link.record.id, fence, job: task.split(".")[0]}
-	log.alarm("executor", "orphan_stopped", "executor: runs what nobody here started.", fields)
+	log.alarm("executor", "orphan_stopped", "executor: stops an orphaned run.", fields)
 	metrics.count("orphan_runs", "stopped")
 	const isAnswered = await sendOrphanStop(link, task, run)
 	link.unansweredStops.delete(name)
@@ -136,13 +139,16 @@
 		return void link.unanswered.push({task, run})
 	link.stoppingUntil = clock.now() + stopTakesMs(link)
 	clock.schedule(stopTakesMs(link), () => {
-		// Should a list still name it, it is stopped once more.
+		// A run that is still listed is stopped once more.
 		link.stoppingOrphans.delete(name)
 		onRoom()
 	})
 }
 
-/** Whether the stop was answered; a listed end, or the end of a silent executor's lease, ends the tries. */
+/**
+ * Repeats the stop; true once it is answered, false when the executor's lease has ended, the link
+ * was closed, or the end was listed.
+ */
 async function sendOrphanStop(link: LinkState, task: string, run: number): Promise<boolean> {
 	const {clock} = link.deps
 	while (!link.isClosed && link.stoppingOrphans.has(runName(task, run))) {
@@ -171,7 +177,7 @@
 	for (let tries = 0; tries < START_TRIES; tries++) {
 		if (!(await mayStartNow(link, run))) break
 		if (link.deps.isEvacuated()) return stopEvacuated(link, run)
-		// It may have waited; a lease that nobody can renew is not worth a start.
+		// The start may have waited; a lease that can't be renewed isn't worth it.
 		if (tries === 0 && !isConfirmed(link, run.req))
 			return returnUnsent(link, run, "its caller was not heard of late")
 		const leaseUntilMs = nextLeaseUntil(link)
@@ -194,15 +200,18 @@
 }
 
 /**
- * A lost start is sent again once an answer is clearly overdue. With 3.6% of orders lost and 90 ms for each try, the short
- * kind of request, whose slack is 96 ms, lost the objective with each lost start.
+ * The time-out of one try: short at first, so that a lost start is repeated within a short task's
+ * slack.
  */
 function startTimeoutMs(link: LinkState, tries: number): number {
 	if (tries >= EARLY_TRIES) return START_TIMEOUT_MS
 	return Math.min(START_TIMEOUT_MS, link.deps.losses.timeoutMs(START_TIMEOUT_MS) * 2 ** tries)
 }
 
-/** Nothing further is sent there; what may have arrived already is stopped, since it may be carried out late. */
+/**
+ * Withdraws a start because of an evacuation; an order that may have arrived is stopped, since it
+ * may be carried out late.
+ */
 function stopEvacuated(link: LinkState, run: Run) {
 	if (run.hasUnansweredStart) stopRun(link, run, "uncertain")
 	else returnUnsent(link, run, "its failure domain is emptied")
@@ -212,7 +221,10 @@
 	void settleRun(link, run, {type: "returned", cause}, "never sent")
 }
 
-/** Waits for stops without an answer, beside which nothing starts; false once it is too late, or not wanted. */
+/**
+ * Waits until no stop is unanswered, since nothing may start beside one; false once the start is
+ * too late or no longer wanted.
+ */
 async function mayStartNow(link: LinkState, run: Run): Promise<boolean> {
 	const {clock} = link.deps
 	const isInTime = () => clock.now() - run.startedAt <= LATEST_START_MS
@@ -221,7 +233,10 @@
 	return isStarting(link, run) && isInTime()
 }
 
-/** A run that is being stopped gets no further start: that would renew the lease under which it may run. */
+/**
+ * Whether the run may still be started; a start during a stop would renew the lease under which it
+ * may run.
+ */
 function isStarting(link: LinkState, run: Run): boolean {
 	return isCurrent(link, run) && run.state !== "stopping"
 }
@@ -241,16 +256,16 @@
 		return noteThere(run, now)
 	}
 	noteRefusedStart(link, run, reply.cause)
-	// The start before was done: its run is there, or has ended and will be listed so.
+	// An earlier try was carried out: the run is there, or its end will be listed.
 	if (wasRepeated && reply.cause === "old") return noteThere(run, now)
-	// The start before had no answer and may still be carried out; a stop that is answered prevents it.
+	// An earlier try had no answer and may still be carried out; an answered stop prevents it.
 	if (wasRepeated) return stopRun(link, run, "uncertain")
 	settleRefused(link, run, reply.cause)
 }
 
-/** The executor has had the run; from now on its lists say what becomes of it. */
+/** Marks a run as started; from now on the executor's lists tell whether it is gone. */
 function noteThere(run: Run, now: number) {
-	// What an answered stop has said holds on: a stop takes its time, whatever answer comes after it.
+	// Keeps the later time of an answered stop, which takes time whatever answer follows.
 	run.listedFrom = Math.max(run.listedFrom ?? now, now)
 	run.hasUnansweredStart = false
 	if (run.state === "starting") run.state = "running"
@@ -282,7 +297,7 @@
 	settleRun(link, run, end, "start refused")
 }
 
-/** How long a run that is being stopped may hold its room without being listed. */
+/** How long a run that is being stopped may use capacity without being listed, in milliseconds. */
 const stopTakesMs = (link: LinkState) => link.deps.stopGraceMs + STOP_MARGIN_MS
 
 async function sendStop(link: LinkState, run: Run) {
--- a/packages/jobs/src/link/room.ts
+++ b/packages/jobs/src/link/room.ts
@@ -1,10 +1,10 @@
 /**
- * The room of one executor: what its runs take, what still fits, and who may share it.
+ * Free capacity of one executor, and which tasks may share it.
  */
 import type {ExecutorRecord} from "../types/executor.js"
 import type {Run, TaskRequest} from "../place/run.js"
 
-/** What of a link says how much room is taken, and by whom. */
+/** The part of a link's state that determines its free capacity. */
 export interface LinkRoom {
 	readonly record: ExecutorRecord
 	readonly runs: ReadonlyMap<string, Run>
@@ -24,20 +24,26 @@
 	)
 }
 
-/** Whether anything runs there that may crash the executor, and has to run alone. */
+/** Whether a run there must have the executor to itself, since it may crash it. */
 function hasLoner({runs}: LinkRoom): boolean {
 	for (const {req} of runs.values()) if (req.isolation === "required") return true
 	return false
 }
 
-/** Whether a task that should run alone would share the executor, or another one would share it with such a task. */
+/**
+ * Whether a task that should run alone would share the executor, or another would share it with
+ * such a task.
+ */
 export function isShared({runs}: LinkRoom, {isolation}: TaskRequest): boolean {
 	if (isolation) return runs.size > 0
 	for (const {req} of runs.values()) if (req.isolation) return true
 	return false
 }
 
-/** Filling tasks disturb serving ones, by amounts that nobody tells; so they never share an executor. */
+/**
+ * Whether the task may share the executor with the runs there. Filling tasks disturb serving ones
+ * to an unknown degree, so the two never share an executor.
+ */
 export function isCompatible(
 	link: LinkRoom,
 	{isFilling, isServing, isolation}: TaskRequest,
@@ -50,7 +56,7 @@
 	return true
 }
 
-/** Counts room as taken, or with -1 as free again. */
+/** Reserves a task's capacity (1) or frees it (-1). */
 export function occupy({used}: LinkRoom, {need}: TaskRequest, sign: 1 | -1) {
 	used.cpu += sign * need.cpu
 	used.memoryMb += sign * need.memoryMb
--- a/packages/jobs/src/link/state.ts
+++ b/packages/jobs/src/link/state.ts
@@ -1,5 +1,6 @@
 /**
- * What a placer holds of one executor: its runs, its room, its clock, and whether it answers.
+ * State of a placer's link to one executor, shared by the modules of this folder: its runs, used
+ * capacity, clock, and whether it answers.
  */
 import type {Clock} from "@cottonwood/core"
 import type {
@@ -19,18 +20,21 @@
 import type {LossDetector} from "./loss-detector.js"
 import type {Tickets} from "../place/tickets.js"
 
-/** An answer that was lost, or a slow machine of ours, is over by then; a dead executor is not. */
+/** A lost answer or a slow machine recovers within this time; a dead executor does not. */
 const PROMISING_MS = 500
 
-/** What a placer's executors tell of runs that may be kept jobs'. */
+/** How a link hands runs and ends that nobody here started to the kept jobs. */
 export interface KeptRuns {
-	/** What runs and what ended may still turn out to be a kept job's: the store has not been read. */
+	/**
+	 * Whether the store has not been read yet, so that any run or end may still belong to a kept
+	 * job.
+	 */
 	isRestoring(): boolean
-	/** Whether a kept job has the task. */
+	/** Whether the task belongs to a kept job. */
 	knows(task: string): boolean
 	/** Takes over a run that an executor lists; false when no kept job wants it. */
 	adopt(executor: string, task: string, run: number): boolean
-	/** Takes an end of a run that nobody watched. */
+	/** Takes an end whose run was watched by nobody here. */
 	noteUnclaimedEnd(task: string, end: TaskEnd): EndRecorded
 }
 
@@ -41,25 +45,28 @@
 	readonly metrics: JobMetrics
 	readonly fence: number
 	readonly leaseRule: LeaseRule
-	/** What is being stopped may go on for this long, in milliseconds, listed or not. */
+	/** How long a run that is being stopped may continue, in milliseconds, listed or not. */
 	readonly stopGraceMs: number
-	/** Whether operators are emptying the failure domain: nothing further starts there. */
+	/** Whether operators are evacuating the failure domain: nothing further starts there. */
 	readonly isEvacuated: () => boolean
-	/** Runs that nobody here started are left alone until then: the placer before hands them over. */
+	/**
+	 * Until then orphans are left alone, as the previous placer may hand them over; milliseconds on
+	 * the monotonic clock.
+	 */
 	readonly orphansWaitUntil: number
-	/** Called when room appeared or an executor became usable. */
+	/** Called when capacity was freed or an executor became usable. */
 	readonly onRoom: () => void
-	/** Called when a higher fence was seen there. */
+	/** Called when the executor has seen a higher fence. */
 	readonly onFenced: (executor: ExecutorRecord) => void
 	readonly onRunEnd: (executor: string, run: Run, end: TaskEnd, proof: RunProof) => void
 	readonly kept: KeptRuns
 	readonly tickets: Tickets
 	readonly losses: LossDetector
-	/** How many runs of each task the placer has, over all its links. */
+	/** Number of runs by task, over all links of the placer. */
 	readonly runCounts: Map<string, number>
-	/** Called when a list says that a run goes on. */
+	/** Called when a hold reports progress of a run. */
 	readonly onProgress: (executor: string, run: Run) => void
-	/** How many times its estimates work is known to take on an executor. */
+	/** The factor by which work on an executor takes longer than estimated. */
 	readonly slownessOf: (executor: string) => number
 }
 
@@ -68,35 +75,38 @@
 	record: ExecutorRecord
 	readonly executorClock: ExecutorClock
 	readonly runs: Map<string, Run>
-	/** Runs there that nobody here started; while there are any, the free room is unknown. */
+	/**
+	 * Listed runs that nobody here started, by run name; while there are any, the free capacity is
+	 * unknown.
+	 */
 	orphans: ReadonlySet<string>
-	/** Runs that nobody here wants and that are being stopped. */
+	/** Orphans that are being stopped, by run name. */
 	readonly stoppingOrphans: Set<string>
-	/** Runs that are being stopped and of whose stops one at least stayed without an answer. */
+	/** Runs being stopped, by run name, whose last stop order got no answer. */
 	readonly unansweredStops: Set<string>
-	/** Ends of runs that nobody here started, until the placer before hands them over. */
+	/** Ends of runs that nobody here started, by run name, until somebody claims them. */
 	readonly strayEnds: Map<string, RunEnd>
-	/** Runs that were settled though a start or stop of theirs was never answered. */
+	/** Runs that were settled although a start or stop of theirs was never answered. */
 	readonly unanswered: {readonly task: string; readonly run: number}[]
 	readonly used: {cpu: number; memoryMb: number; accelerators: number}
-	/** Ends up to this serial are settled here. */
+	/** Ends up to this serial are processed here. */
 	seenSerial: number
-	/** Serials of ends that the executor must list until the store has them. */
+	/** Serials of ends that the executor must keep listing until the store has them. */
 	readonly unnoted: Set<number>
 	isFenceTaken: boolean
 	isRetired: boolean
 	isClosed: boolean
-	/** Another life answered: whatever ran in this one is gone. */
+	/** Another process answered at the executor's address: all its runs are gone. */
 	isReplaced: boolean
 	silentSince: number | undefined
-	/** Nothing has listened at its address since it fell silent: its process is gone. */
+	/** A connection was refused since the executor fell silent: its process is gone. */
 	wasRefused: boolean
-	/** When any order was answered last. */
+	/** When an order was last answered. */
 	answeredAt: number
-	/** Whether a second hold is under way, since orders get lost. */
+	/** Whether a second, concurrent hold is under way. */
 	hasSpareHold: boolean
 	unhealthyUntil: number
-	/** Until then a run that nobody here started may still be stopping, and holds its room unlisted. */
+	/** Until then a stopped orphan may still use capacity without being listed. */
 	stoppingUntil: number
 }
 
@@ -129,25 +139,28 @@
 	}
 }
 
-/** Whether new work may go there. */
+/** Whether new work may be started there. */
 export function isUsable(link: LinkState): boolean {
 	if (!link.isFenceTaken || link.isRetired || link.isClosed || link.record.isLeaving) return false
 	if (link.silentSince !== undefined || link.orphans.size > 0) return false
-	// A start would renew the lease of what is not known to be stopping yet.
+	// A start would renew the lease of runs whose stop is not confirmed.
 	if (link.unansweredStops.size > 0 || link.deps.isEvacuated()) return false
 	return hasNoPause(link)
 }
 
-/** Nothing that was stopped there holds its room unlisted, and it has not said a moment ago that it is unhealthy. */
+/**
+ * Whether no stopped orphan may still use capacity unlisted, and the executor has not just reported
+ * that it is unhealthy.
+ */
 function hasNoPause({stoppingUntil, unhealthyUntil, deps}: LinkState): boolean {
-	// Most have never had a pause; reading the clock is the dearest of all these questions.
+	// Most executors were never paused; skip reading the clock, which is the costliest check here.
 	const until = Math.max(stoppingUntil, unhealthyUntil)
 	return until === -Infinity || deps.clock.now() >= until
 }
 
 /**
- * Whether it is likely to take work within a moment, if not now. One that was just added is: its first hold is under way, until that is
- * answered or missed.
+ * Whether the executor is likely to become usable within a moment. A newly added one is, until its
+ * first hold is answered or missed.
  */
 export function isPromising(link: LinkState): boolean {
 	const {silentSince, deps, record} = link
@@ -156,12 +169,15 @@
 	return silentSince === undefined || deps.clock.now() - silentSince < PROMISING_MS
 }
 
-/** Whether runs that nobody here started may still find somebody who wants them. */
+/** Whether orphans may still be claimed, by a handover or by a kept job. */
 export function isWaitedFor({deps}: LinkState): boolean {
 	return deps.clock.now() < deps.orphansWaitUntil || deps.kept.isRestoring()
 }
 
-/** Whether nothing that anybody may want can be there: no run, and no end that is not noted yet. */
+/**
+ * Whether the executor has nothing anybody may want: no run, no unrecorded end, and no orphan that
+ * may be claimed.
+ */
 export function isIdle(link: LinkState): boolean {
 	const {runs, unnoted, orphans} = link
 	if (link.isReplaced) return true
@@ -169,12 +185,12 @@
 	return link.isFenceTaken || hasLapsedSilent(link)
 }
 
-/** Whether it is silent, and everything that ran there has certainly ended. */
+/** Whether the executor is silent and everything that ran there has certainly ended. */
 export function hasLapsedSilent({silentSince, executorClock, deps}: LinkState): boolean {
 	return silentSince !== undefined && executorClock.haveLeasesEnded(deps.clock.now())
 }
 
-/** Whether a run of the task that nobody here started is there, or is still being stopped. */
+/** Whether an orphan of the task is there, or is still being stopped. */
 export function hasOrphanOf({orphans, stoppingOrphans}: LinkState, task: string): boolean {
 	if (orphans.size + stoppingOrphans.size === 0) return false
 	const isOfTask = (name: string) => name.startsWith(`${task}/`)
@@ -197,7 +213,7 @@
 	occupy(link, run.req, 1)
 }
 
-/** Forgets all runs without an end: another placer watches them from now on. */
+/** Drops all runs without reporting an end, since another placer watches them now. */
 export function releaseRuns(link: LinkState) {
 	for (const run of link.runs.values()) {
 		countRun(link, run, -1)
@@ -206,7 +222,10 @@
 	link.runs.clear()
 }
 
-/** Ends a run here; its room is free from now on. */
+/**
+ * Removes a run, frees its capacity and reports its end. Returns a promise that resolves once the
+ * end is recorded, or undefined if it need not be.
+ */
 export function settleRun(link: LinkState, run: Run, end: TaskEnd, proof: RunProof): EndRecorded {
 	if (!isCurrent(link, run)) return undefined
 	link.runs.delete(run.req.task)
@@ -224,7 +243,7 @@
 	return unnoted.size === 0 ? seenSerial : Math.min(...unnoted) - 1
 }
 
-/** How a run without a result ended, by what was wanted of it. */
+/** The end of a run that has no result, by why it was being stopped. */
 export function lostOrStopped(link: LinkState, run: Run, cause: string): TaskEnd {
 	const executor = link.record.id
 	switch (run.stopCause) {
@@ -250,7 +269,9 @@
 	}
 }
 
-/** What the executor's end says of all that ran there; a planned end is nothing that its tasks have done. */
+/**
+ * What the end of the executor's process says about its runs; undefined when that end was planned.
+ */
 function crashOf({record, isReplaced, wasRefused, runs, orphans}: LinkState): Crash | undefined {
 	if (record.isLeaving) return undefined
 	if (!isReplaced && !wasRefused) return "possible"
@@ -263,7 +284,7 @@
 	link.silentSince = link.deps.clock.now()
 	const {id, address} = link.record
 	const fields = {executor: id, address, cause, count: link.runs.size}
-	link.deps.log.alarm("executor", "executor_silent", "executor: does not answer.", fields)
+	link.deps.log.alarm("executor", "executor_silent", "executor: stopped answering.", fields)
 }
 
 export function noteAnswering(link: LinkState) {
@@ -285,7 +306,7 @@
 	settleAllLost(link, "replaced", "replaced")
 }
 
-/** Runs and ends there that nobody here watches are of no account any more. */
+/** Drops runs and ends that nobody here watches. */
 export function forgetUnwatched(link: LinkState) {
 	link.orphans = new Set()
 	link.stoppingOrphans.clear()
@@ -297,7 +318,7 @@
 	const {metrics, log, fence, onFenced} = link.deps
 	metrics.count("fences_lost", order)
 	const fields = {executor: link.record.id, fence, outcome: order}
-	log.alarm("executor", "fence_lost", "executor: a higher fence was seen there.", fields)
+	log.alarm("executor", "fence_lost", "executor: has seen a higher fence.", fields)
 	link.isClosed = true
 	onFenced(link.record)
 }
@@ -311,7 +332,10 @@
 
 type OwnReply<T> = Exclude<T, {type: "fenced"} | {type: "replaced"} | {type: "silent"}>
 
-/** Handles what all orders' replies have in common; says whether the reply is the order's own. */
+/**
+ * Handles the replies that all orders have in common (`fenced`, `replaced`, `silent`); true when
+ * the reply is the order's own and the link is open.
+ */
 export function isOwnReply<T extends StartReply | HoldReply | {readonly type: string}>(
 	link: LinkState,
 	reply: T,
@@ -328,7 +352,8 @@
 		case "silent":
 			link.deps.metrics.count("executor_orders_silent", order)
 			if ("isRefused" in reply && reply.isRefused) link.wasRefused = true
-			// One that is silent already is dead or cut off; nothing is lost on the way to the others.
+			// An executor that is already silent is dead or cut off, which says nothing about lost
+			// packets.
 			if (link.silentSince === undefined) link.deps.losses.noteLost()
 			return false
 		default:
@@ -337,5 +362,5 @@
 	}
 }
 
-/** Names a run of a task. */
+/** Identifies a run of a task. */
 export const runName = (task: string, run: number) => `${task}/${run}`
