--- a/packages/jobs/test/beats.test.ts
+++ b/packages/jobs/test/beats.test.ts
@@ -1,5 +1,6 @@
 /**
- * Telling other placers of room: soon when it comes or goes, and without working it out at each change.
+ * Heartbeats and room updates: updates are prompt when capacity appears or runs out, and
+ * rate-limited otherwise.
  */
 import type {Heartbeat, Claim, Member} from "@cottonwood/jobs"
 import {
@@ -59,7 +60,7 @@
 		beats,
 		self,
 		other,
-		/** News of room that was told between beats. */
+		/** Room updates sent between heartbeats. */
 		told: () => sent.filter((one): one is RoomDatagram => one.type === "room"),
 		beatsSent: () => sent.filter((one): one is HeartbeatDatagram => one.type === "beat"),
 		bytesSent: () => sent.reduce((sum, one) => sum + JSON.stringify(one).length, 0),
@@ -71,8 +72,8 @@
 	}
 }
 
-describe("beats about room", () => {
-	it("tells soon that room has come or gone, though it was just told", async () => {
+describe("room updates", () => {
+	it("are sent soon when capacity appears or runs out, even after a recent one", async () => {
 		const world = createWorld()
 		world.setRoom([30_000])
 		await world.clock.advance(5)
@@ -85,7 +86,7 @@
 		expect(world.told()[1]?.rooms["a"]?.freeCpu).to.eql([])
 	})
 
-	it("tells less often that there is more or less of it", async () => {
+	it("are sent less often when only the amount changes", async () => {
 		const world = createWorld()
 		for (let at = 0; at < 30; at++) {
 			world.setRoom([30_000 + at])
@@ -94,7 +95,7 @@
 		expect(world.told().length).to.be.within(4, 7)
 	})
 
-	it("does not work the room out at each change", async () => {
+	it("do not compute the capacity at each change", async () => {
 		const world = createWorld()
 		const before = world.workedOut()
 		for (let at = 0; at < 300; at++) {
@@ -104,7 +105,7 @@
 		expect(world.workedOut() - before).to.be.lessThan(40)
 	})
 
-	it("says nothing when what others decide by is as it was told", async () => {
+	it("are not sent while the figures that others decide by are unchanged", async () => {
 		const world = createWorld()
 		world.setRoom([30_000])
 		await world.clock.advance(100)
@@ -114,7 +115,7 @@
 	})
 })
 
-describe("bytes of beats", () => {
+describe("the size of heartbeats", () => {
 	const beatOfOther = (
 		other: Member,
 		fences: Readonly<Record<string, number>>,
@@ -129,7 +130,7 @@
 		wantsAnswer: true,
 	})
 
-	it("describes only those claims that the reader has not told that it knows", () => {
+	it("includes only claims that the receiver has not reported to know", () => {
 		const world = createWorld()
 		world.beats.receive(beatOfOther(world.other, {b: 1}))
 		expect(
@@ -142,7 +143,7 @@
 		expect(world.beatsSent().at(-1)).to.deep.include({claims: [], fences: {a: 1, b: 1}})
 	})
 
-	it("remembers so many sessions, and describes all claims to one that it has forgotten", async () => {
+	it("includes all claims for a session whose known fences were evicted", async () => {
 		const world = createWorld()
 		world.beats.receive(beatOfOther(world.other, {a: 1, b: 1}))
 		await world.clock.advance(200)
@@ -153,7 +154,7 @@
 		expect(world.beatsSent().at(-1)?.claims).to.have.length(2)
 	})
 
-	it("describes a claim again until the reader tells its fence, whatever was lost", () => {
+	it("includes a claim until the receiver reports its fence, whatever was lost", () => {
 		const world = createWorld()
 		for (let lost = 0; lost < 3; lost++) world.beats.receive(beatOfOther(world.other, {b: 1}))
 		const described = world.beatsSent().slice(-3)
@@ -161,11 +162,10 @@
 	})
 
 	/*
-	 * On links of 2 Mbit/s a fleet of eighteen served nothing, not even on a day without trouble. Placers told each other of
-	 * room up to 66 times a second, each time with all claims and their members, 1.7 KB in all: 0.57 MB a second
-	 * to five others, more than twice what the link carries, so orders and answers waited behind it.
+	 * Guards against room updates and heartbeats that fill a narrow link, so that orders and
+	 * answers are delayed.
 	 */
-	it("take no more than a small share of a narrow link, however often room changes", async () => {
+	it("stays within a small share of a narrow link, however often room changes", async () => {
 		const world = createWorld(2)
 		world.beats.receive(beatOfOther(world.other, {a: 1, b: 1}))
 		const before = world.bytesSent()
@@ -176,7 +176,7 @@
 		}
 		const linkBytes = seconds * 250_000
 		expect((world.bytesSent() - before) / linkBytes).to.be.lessThan(0.06)
-		// Others still hear of room within a fraction of a short task's slack.
+		// Updates still arrive within a fraction of a short task's slack.
 		expect(world.told().length / seconds).to.be.greaterThan(10)
 	})
 })
--- a/packages/jobs/test/confirmed-callers.test.ts
+++ b/packages/jobs/test/confirmed-callers.test.ts
@@ -1,6 +1,6 @@
 /**
- * As of when a caller is known to wait is told on with its work, from the connection to the run. Each of these hands was
- * left out once, and no test failed; each of these fails without one of them.
+ * The time as of which a caller wants its work is passed on from the connection to the run. Each
+ * test fails if one step omits it.
  */
 import {createJobMetrics, silentLog, type Claim, type Job} from "@cottonwood/jobs"
 import {
@@ -118,8 +118,8 @@
 
 const remote = {onCancel: ignore, madeAt: 900, confirmedAt: () => HEARD_AT}
 
-describe("as of when a caller waits", () => {
-	it("is told to another instance's placer as what has been read here, again and again", async () => {
+describe("the time as of which a caller wants its work", () => {
+	it("is reported to another instance's placer repeatedly, as the time up to which input was read here", async () => {
 		const {clock, callHere, dispatcher, told, job, setUnread} = createWorld(false)
 		void dispatcher.dispatch(job, QUEUE, callHere())
 		await clock.advance(50)
@@ -127,7 +127,7 @@
 		expect(told.map(({confirmedAt}) => confirmedAt())).to.eql([clock.now() - 30])
 	})
 
-	it("counts against a call's time when much may lie unread", async () => {
+	it("reduces a call's remaining time when input may be unread", async () => {
 		const {clock, callHere, dispatcher, told, job, setUnread} = createWorld(false)
 		setUnread(500)
 		void dispatcher.dispatch(job, QUEUE, callHere())
@@ -135,7 +135,7 @@
 		expect(told[0]?.message).to.deep.include({leftMs: 1_500, ageMs: 500})
 	})
 
-	it("is what another instance tells, for its jobs and its tasks", async () => {
+	it("is taken from the calling instance, for its jobs and its tasks", async () => {
 		const {dispatcher, asked, callers, job} = createWorld(true)
 		const both = {failureDomain: "b", from: "other", leftMs: 1_000}
 		await dispatcher.runJob({...both, job, queue: QUEUE, ageMs: 0, configVersion: 0}, remote)
@@ -146,7 +146,7 @@
 		expect(asked[0]).to.deep.include({startBy: 1_000, uselessAt: 1_100, deadlineAt: 1_900})
 	})
 
-	it("goes on with a task that is handed to another domain", () => {
+	it("is passed on with a task that is handed to another domain", () => {
 		const {overflow, told} = createWorld(false)
 		overflow.handOver({
 			req: taskRequest("j.0.0.0", {confirmedAt: () => HEARD_AT}),
@@ -157,7 +157,7 @@
 		expect(told.map(({confirmedAt}) => confirmedAt())).to.eql([HEARD_AT])
 	})
 
-	it("stays what it was once the job is over", async () => {
+	it("is not advanced once the job is over", async () => {
 		const {clock, job} = createWorld(false)
 		const asked: TaskRequest[] = []
 		const need = {cpu: 1, memoryMb: 1, accelerators: 0}
--- a/packages/jobs/test/confirmed-leases.test.ts
+++ b/packages/jobs/test/confirmed-leases.test.ts
@@ -1,6 +1,6 @@
 /**
- * Leases end by the oldest confirmation of what runs under them. Each of the looks that this rests on was left out once, and
- * no test failed; each of these fails without one of them.
+ * Leases are bounded by the oldest confirmation of the runs under them. Each test fails if one of
+ * the checks behind that is omitted.
  */
 import {
 	createExecutorClock,
@@ -39,7 +39,7 @@
 		return placer.submit(taskRequest(task, extra), end => void ends.push({...end, task}), ignore)
 	}
 
-	/** Gives some runs on; nobody tells of the others. */
+	/** Hands some runs over; nobody reports the others. */
 	function give(from: Placer, to: Placer, tasks: readonly string[]) {
 		from.handOverAll(({req}, runsAt?: RunLocation) => {
 			if (!runsAt || !tasks.includes(req.task)) return
@@ -52,7 +52,7 @@
 }
 
 describe("a run whose caller is not heard any more", () => {
-	it("ends in time though its neighbour's caller is heard all the while", async () => {
+	it("ends in time although its neighbour's caller is still heard", async () => {
 		const {clock, place, submit, isThere, now} = createWorld()
 		const placer = place(7)
 		await clock.advance(1_500)
@@ -65,7 +65,7 @@
 		expect(isThere(TASK)).to.equal(false)
 	})
 
-	it("does not begin under a lease that outlasts it, until the caller is heard", async () => {
+	it("does not start under a lease that outlasts it, until the caller is heard", async () => {
 		const {clock, place, submit, isThere, now} = createWorld()
 		const placer = place(7)
 		await clock.advance(1_500)
@@ -80,7 +80,7 @@
 		expect(isThere(TASK)).to.equal(true)
 	})
 
-	it("gets no lease for its neighbour's sake while nobody has handed it over", async () => {
+	it("does not have its lease renewed for its neighbour while nobody has handed it over", async () => {
 		const {clock, executor, place, submit, give, isThere, now} = createWorld()
 		const first = place(7)
 		await clock.advance(1_500)
@@ -95,7 +95,7 @@
 		expect(isThere(TASK)).to.equal(false)
 	})
 
-	it("does not begin under a lease that a placer before may have asked for until it was obeyed no more", async () => {
+	it("does not start under a lease that the previous placer may have requested until its fence was refused", async () => {
 		const {clock, executor, place, submit, isThere, now} = createWorld()
 		executor.isLost = () => true
 		const placer = place(8)
@@ -108,7 +108,7 @@
 		expect(isThere(TASK)).to.equal(false)
 	})
 
-	it("is not told as lost to its successor before the lease has ended that was asked for last", async () => {
+	it("is not reported as lost at the successor before the last requested lease has ended", async () => {
 		const {clock, executor, ends, place, submit, give, isThere, now} = createWorld()
 		const first = place(7)
 		await clock.advance(1_500)
@@ -124,7 +124,7 @@
 				type: "lost",
 				executor: "e1",
 				cause: "its lease ended while silent",
-				// It may have crashed, for all that is known here.
+				// The executor may have crashed, as far as is known here.
 				crash: "possible",
 				task: TASK,
 			},
@@ -134,7 +134,7 @@
 })
 
 describe("an executor's clock", () => {
-	it("is read as low as it may be, and takes no reading that says less than is known", () => {
+	it("is estimated as low as possible, ignoring readings below the estimate", () => {
 		const executorClock = createExecutorClock(LEASE_RULE)
 		executorClock.observe(10_000, 0)
 		expect(executorClock.lowestReading(1_000)).to.equal(10_980)
@@ -144,7 +144,7 @@
 		expect(executorClock.lowestReading(1_000)).to.equal(10_990)
 	})
 
-	it("tells the latest end of all leases asked for, at the slowest rate and with the time that an end takes", () => {
+	it("gives the latest end of all requested leases, at the slowest rate and with the end margin", () => {
 		const executorClock = createExecutorClock(LEASE_RULE)
 		executorClock.observe(10_000, 0)
 		executorClock.noteLease(10_980)
--- a/packages/jobs/test/confirmed-runs.test.ts
+++ b/packages/jobs/test/confirmed-runs.test.ts
@@ -1,6 +1,6 @@
 /**
- * Runs whose callers are heard no more: each has ended in time for its caller to come back, though nobody here learns that it
- * left, though stops are lost, and whatever else runs beside it.
+ * Runs whose callers are no longer heard end in time for the caller to resubmit, even when the loss
+ * goes unnoticed, stops are lost, or other runs share the executor.
  */
 import type {PlacerDeps, TaskEnd, TaskRequest} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -19,7 +19,7 @@
 	const clock = createFakeClock()
 	const executor = new LeasedExecutor(clock)
 	const ends: (TaskEnd & {readonly task: string})[] = []
-	/** As of when the callers of each task are known to want it; those that are not named always do. */
+	/** Times as of which the callers of each task want it; tasks not named are always wanted. */
 	const confirmedAt = new Map<string, number>()
 
 	function place(fence: number, extra: Partial<PlacerDeps> = {}) {
@@ -55,7 +55,7 @@
 }
 
 describe("confirmed runs", () => {
-	it("end in time though their neighbours' leases are renewed and no stop arrives", async () => {
+	it("end in time although their neighbours' leases are renewed and no stop arrives", async () => {
 		for (let phase = 0; phase < 200; phase += 20) {
 			const {clock, executor, confirmedAt, place, run} = createWorld()
 			const placer = place(1)
@@ -69,7 +69,7 @@
 		}
 	})
 
-	it("are stopped once their caller was not heard for long, and their neighbours go on", async () => {
+	it("are stopped once their caller was unheard for long, while their neighbours continue", async () => {
 		const {clock, executor, ends, confirmedAt, place, run} = createWorld()
 		const placer = place(1)
 		await run(placer, TASK)
@@ -81,7 +81,7 @@
 		expect(ends).to.eql([{type: "lost", executor: "e1", cause, task: TASK}])
 	})
 
-	it("begin under no lease that outlasts what their confirmation allows, and do once they are confirmed again", async () => {
+	it("do not start under a lease that outlasts their confirmation, until they are confirmed again", async () => {
 		const {clock, executor, confirmedAt, place, run, submit} = createWorld()
 		const placer = place(1)
 		await run(placer, NEIGHBOUR)
@@ -96,10 +96,10 @@
 	})
 
 	/*
-	 * A successor knows nothing of a run that it finds, nor as of when its caller wanted it. If it renewed the
-	 * lease for the sake of a run of its own, the unknown one would go on under it, beside the next run of its task.
+	 * Guards against a successor renewing the lease of an unknown run for the sake of its own, so
+	 * that the unknown run continues beside its task's next run.
 	 */
-	it("get no lease renewed beside a run of which nothing is known", async () => {
+	it("do not have the lease renewed beside an unknown run", async () => {
 		const {clock, executor, place, run} = createWorld()
 		const first = place(7)
 		await run(first, TASK)
@@ -114,10 +114,10 @@
 	})
 
 	/*
-	 * Until an executor obeys the successor the placer before may renew its lease. A task that was last confirmed a while
-	 * ago would go on under that lease for longer than it may.
+	 * Until an executor accepts the successor's fence, the previous placer may renew its lease.
+	 * Guards against a task with an old confirmation starting under that lease.
 	 */
-	it("begin at a successor only in time with the leases of the placer before", async () => {
+	it("start at a successor only if their confirmation outlasts the previous placer's leases", async () => {
 		const {clock, executor, confirmedAt, place, run, submit} = createWorld()
 		const first = place(7)
 		await run(first, NEIGHBOUR)
@@ -135,7 +135,7 @@
 		expect(executor.running.has(TASK)).to.equal(true)
 	})
 
-	it("that nobody wants any more are confirmed by nothing that comes later", async () => {
+	it("are not confirmed by anything after they are cancelled", async () => {
 		const {clock, executor, place, run} = createWorld()
 		const placer = place(1)
 		let isOver = false
--- a/packages/jobs/test/cut-off-placer.test.ts
+++ b/packages/jobs/test/cut-off-placer.test.ts
@@ -1,8 +1,6 @@
 /**
- * A placer that was replaced goes on renewing the leases of the executors that its successor cannot reach, for as long as it
- * reaches none that has seen the new fence. No caller confirms a kept job's run, so nothing bounds those leases, while the
- * successor counts two seconds from its beginning and starts the task anew. With one executor on each side of a cut the old
- * run was still there 3,000 ms after the claim, beside the successor's.
+ * A replaced placer may renew leases on executors that its successor cannot reach. Guards against a
+ * kept job's run, whose lease no caller bounds, continuing there beside the successor's run.
  */
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
@@ -28,8 +26,8 @@
 const keptRequest = (run: number, avoid: readonly string[] = []) =>
 	taskRequest(TASK, {run, avoid, isKept: true, isLasting: true, estimateMs: 50_000})
 
-describe("a placer that was replaced and cut off", () => {
-	it("lets a kept job's run go before its successor takes all runs as ended", async () => {
+describe("a replaced placer that is partitioned from its successor", () => {
+	it("ends a kept job's run before its successor assumes that all runs have ended", async () => {
 		const {clock, executors, orders, running} = createWorld()
 		const old = createTestPlacer({clock, orders, fence: OLD_FENCE})
 		old.setExecutors([record("e1"), record("e2")])
--- a/packages/jobs/test/evacuations.test.ts
+++ b/packages/jobs/test/evacuations.test.ts
@@ -1,5 +1,6 @@
 /**
- * Failure domains that operators are emptying: how that is known, and what it means for jobs, placers and executors.
+ * Evacuations of failure domains: how they become known, and their effect on jobs, placers and
+ * executors.
  */
 import {
 	createJobMetrics,
@@ -49,7 +50,7 @@
 }
 
 describe("evacuations", () => {
-	it("are known from a listing, begin and end by changes, and leave other keys alone", () => {
+	it("are read from a listing, begin and end by changes, and ignore other keys", () => {
 		const {evacuations, underWay, changes} = createKnown()
 		const other: StoreItem = {key: "config", value: {}, revision: 1}
 		evacuations.applyListing({items: [other, item("a")], revision: 5})
@@ -63,7 +64,7 @@
 		expect(changes()).to.equal(4)
 	})
 
-	it("hold nothing where their value cannot be read, and stay where one was in force", () => {
+	it("ignore an unreadable value, and keep the evacuation that was in force", () => {
 		const {evacuations, underWay} = createKnown()
 		evacuations.applyListing({items: [item("a", 7)], unreadable: [PREFIX + "b"], revision: 5})
 		expect(underWay()).to.eql([])
@@ -75,7 +76,7 @@
 		expect(underWay()).to.eql([])
 	})
 
-	it("are learnt from a peer that heard the store later, and not from one that heard it before", () => {
+	it("are taken from a peer's report only if it is newer than the store's", () => {
 		const {evacuations, underWay} = createKnown()
 		evacuations.applyListing({items: [item("a")], revision: 5})
 		const news = (revision: number, failureDomains: readonly string[]): EvacuationSnapshot => ({
@@ -86,14 +87,14 @@
 		expect(underWay()).to.eql(["a"])
 		evacuations.applySnapshot(news(9, ["b"]), "peer")
 		expect(underWay()).to.eql(["b"])
-		// What the store told this instance late is older than what the peer heard.
+		// The store's late change is older than the peer's report.
 		evacuations.applyChange({items: [item("c")], deleted: [], revision: 7})
 		expect(underWay()).to.eql(["b"])
 		evacuations.applyChange({items: [item("b")], deleted: [PREFIX + "a"], revision: 10})
 		expect(underWay()).to.eql(["b", "c"])
 	})
 
-	it("are not taken back by the word of an instance whose watch heard nothing", () => {
+	it("are not ended by the report of an instance whose watch had no changes", () => {
 		const deaf = createKnown()
 		deaf.evacuations.applyListing({items: [item("b")], revision: 5})
 		deaf.evacuations.applyChange({items: [], deleted: [], revision: 30})
@@ -108,7 +109,7 @@
 		])
 	})
 
-	it("are told in no beat before there was one", () => {
+	it("are omitted from heartbeats until there has been one", () => {
 		const {evacuations} = createKnown()
 		evacuations.applyListing({items: [], revision: 5})
 		expect(evacuations.snapshot()).to.equal(undefined)
@@ -150,8 +151,8 @@
 	return {clock, orders, placer, ends, handedOver, submit, evacuate, giveRoomElsewhere}
 }
 
-describe("a failure domain that is emptied", () => {
-	it("starts nothing more, keeps what runs, and starts again once it is taken back", async () => {
+describe("a failure domain under evacuation", () => {
+	it("starts nothing more, keeps its runs, and starts tasks again afterwards", async () => {
 		const {clock, orders, ends, submit, evacuate} = createDomain()
 		await clock.advance(10)
 		submit("j.0.0.0", {estimateMs: 20_000})
@@ -169,7 +170,7 @@
 		expect(orders.starts.map(({task}) => task)).to.eql(["j.0.0.0", "j.0.0.1"])
 	})
 
-	it("sends no second order for a start without an answer, and stops what may come of the first", async () => {
+	it("does not repeat an unanswered start, and stops its possible run", async () => {
 		const {clock, orders, submit, evacuate} = createDomain()
 		await clock.advance(10)
 		orders.startReplies = [{type: "silent", cause: "test"}]
@@ -184,7 +185,7 @@
 		expect(orders.stops.map(({task}) => task)).to.include("j.0.0.0")
 	})
 
-	it("sends what waits to other domains as soon as they have room", async () => {
+	it("hands waiting tasks to other domains as soon as they have room", async () => {
 		const {clock, placer, handedOver, submit, evacuate, giveRoomElsewhere} = createDomain()
 		await clock.advance(10)
 		evacuate(true)
@@ -197,7 +198,7 @@
 		expect(placer.counts().waiting).to.equal(0)
 	})
 
-	it("gives what other domains handed over back at once", async () => {
+	it("returns tasks of other domains at once", async () => {
 		const {clock, ends, submit, evacuate} = createDomain()
 		await clock.advance(10)
 		const whole = {cpu: 64_000, memoryMb: 64, accelerators: 0}
@@ -213,7 +214,7 @@
 		expect(ends).to.have.length(2)
 	})
 
-	it("tells of no room, and says that it cannot serve", async () => {
+	it("reports no room, and that it cannot serve", async () => {
 		const {clock, placer, evacuate} = createDomain()
 		await clock.advance(10)
 		expect(placer.room().freeCpu).to.have.length(1)
@@ -273,18 +274,17 @@
 	return {clock, dispatcher, asked, dispatch: () => dispatcher.dispatch(job(), QUEUE, STAYING)}
 }
 
-describe("callers of a failure domain that is emptied", () => {
-	it("are served by the others, each in its turn", async () => {
+describe("callers of a failure domain under evacuation", () => {
+	it("are spread over the other domains in turn", async () => {
 		const {asked, dispatch} = createCaller(["a"])
 		for (let at = 0; at < 4; at++) expect((await dispatch()).type).to.equal("completed")
 		expect([...asked].sort()).to.eql(["b-1:1", "b-1:1", "c-1:1", "c-1:1"])
 	})
 
 	/*
-	 * The question whether an instance may be sent callers, which the platform asks every few hundred milliseconds, moved the turn
-	 * as a job does. With two other domains and a question between two jobs, all went to one of them.
+	 * Guards against canPlace() advancing the round-robin turn, which sent all jobs to one domain.
 	 */
-	it("are spread alike, however often it is asked whether they may come", async () => {
+	it("are spread evenly, however often readiness is checked", async () => {
 		const {asked, dispatch, dispatcher} = createCaller(["a"])
 		for (let at = 0; at < 4; at++) {
 			await dispatch()
@@ -293,13 +293,13 @@
 		expect([...asked].sort()).to.eql(["b-1:1", "b-1:1", "c-1:1", "c-1:1"])
 	})
 
-	it("are served by the one that is left of three", async () => {
+	it("are served by the only domain left of three", async () => {
 		const {asked, dispatch} = createCaller(["a", "c"])
 		for (let at = 0; at < 2; at++) await dispatch()
 		expect(asked).to.eql(["b-1:1", "b-1:1"])
 	})
 
-	it("are refused at once when all are emptied, by an instance that stays ready", async () => {
+	it("are refused at once when all domains are evacuated, by an instance that stays ready", async () => {
 		const {asked, clock, dispatch, dispatcher} = createCaller(["a", "b", "c"])
 		const startedAt = clock.now()
 		expect(await dispatch()).to.deep.include({type: "refused", kind: "no_capacity"})
@@ -308,7 +308,7 @@
 		expect(dispatcher.canPlace()).to.equal(true)
 	})
 
-	it("are served as usual when a domain that nobody has is emptied", async () => {
+	it("are served as usual when an unknown domain is evacuated", async () => {
 		const {asked, dispatch} = createCaller(["nowhere"])
 		await dispatch()
 		expect(asked).to.eql(["a-1:1"])
--- a/packages/jobs/test/fleet.test.ts
+++ b/packages/jobs/test/fleet.test.ts
@@ -1,5 +1,5 @@
 /**
- * Membership and claims: who tries to place a failure domain, and when.
+ * Membership and claims: which instance claims a failure domain, and when.
  */
 import {
 	createJobMetrics,
@@ -30,7 +30,7 @@
 	cpuShare: 0.675,
 })
 
-/** A sign of life that is asked for is missed after this, unless somebody is known to be late. */
+/** The time-out of a ping, unless somebody is known to be late. */
 const USUAL_PING_MS = 350
 
 function createWorld(options: {
@@ -116,7 +116,7 @@
 		expect(world.view.claimOf("a")?.placer.name).to.equal("a-1")
 	})
 
-	it("does not wait for a witness that is silent once another one has answered", async () => {
+	it("does not wait for a silent witness once another one has answered", async () => {
 		const slow = member("b-2", "b")
 		const world = createWorld({
 			self: two,
@@ -125,16 +125,15 @@
 			answers: ({name}) => name === "b-1",
 			pingTakesMs: ({name}) => (name === "b-1" ? 1 : 350),
 		})
-		// A second of silence, a tick, and the placer's own time to answer; a silent witness would take as long again.
+		// A second of silence, a tick, and the placer's ping time-out; a silent witness would take
+		// as long again.
 		await world.clock.advance(1_600)
 		expect(world.fenceOf()).to.equal(5)
 	})
 
 	/*
-	 * From 0.74 s of a load on that was too much for its machines, placers were replaced that lived: 111 claims in 55 s for six
-	 * domains, long after the load had gone back. A busy placer's beats and answers came late, its judges read them late, and
-	 * the next placer began with runs of the one before to be stopped and done again. Settled by `claim_written` lines,
-	 * "no word for 1048 ms" and the like, about placers that went on writing lines.
+	 * Guards against replacing live placers under overload, whose heartbeats and answers are late:
+	 * each replacement discards runs and causes the next one.
 	 */
 	describe("of a placer that is late, not silent", () => {
 		const beatOf = (from: Member, lateMs: number): Heartbeat => ({
@@ -146,7 +145,10 @@
 			lateMs,
 		})
 
-		/** The placer beats each 1.2 s and answers questions after 0.9 s, as a process whose turns take 0.3 s. */
+		/**
+		 * The placer sends a heartbeat each 1.2 s and answers pings after 0.9 s, as if each of its
+		 * turns took 0.3 s.
+		 */
 		async function playLate(lateMs: number) {
 			const world = createWorld({
 				self: two,
@@ -162,12 +164,12 @@
 			return world.fenceOf()
 		}
 
-		it("stay with it when it has told so", async () => {
+		it("stay with it when it has reported its lateness", async () => {
 			expect(await playLate(0)).to.be.greaterThan(4)
 			expect(await playLate(300)).to.equal(4)
 		})
 
-		it("stay with it when it is the judge that is late", async () => {
+		it("stay with it when the watching instance itself is late", async () => {
 			const world = createWorld({
 				self: two,
 				members: [one, two, far],
@@ -207,7 +209,7 @@
 		})
 	})
 
-	it("takes its earlier life's domain back at once, without asking anybody", async () => {
+	it("takes its previous session's domain back at once, without a ping", async () => {
 		const earlier: Claim = {failureDomain: "a", fence: 4, placer: member("a-1", "a", "earlier")}
 		const world = createWorld({
 			self: one,
@@ -220,7 +222,7 @@
 		expect(world.fenceOf()).to.equal(5)
 	})
 
-	it("leaves a silent placer that answers when asked", async () => {
+	it("does not replace a silent placer that answers a ping", async () => {
 		const world = createWorld({
 			self: two,
 			members: [one, two],
@@ -231,13 +233,13 @@
 		expect(world.fenceOf()).to.equal(4)
 	})
 
-	it("takes nothing over when nobody at all answers it", async () => {
+	it("takes nothing over when no other instance answers", async () => {
 		const world = createWorld({self: two, members: [one, two, far], claims: [heldByOne]})
 		await world.clock.advance(5_000)
 		expect(world.fake.puts).to.equal(0)
 	})
 
-	it("takes a foreign domain only without instances of its own, and with executors in reach", async () => {
+	it("takes another domain only if it has no instances and reachable executors", async () => {
 		const heldByFar: Claim = {failureDomain: "b", fence: 2, placer: far}
 		const base = {self: one, claims: [heldByFar], domains: ["b"], answers: () => false}
 		const withNative = createWorld({...base, members: [one, member("b-2", "b")]})
@@ -251,7 +253,7 @@
 		expect(alone.fenceOf("b")).to.equal(3)
 	})
 
-	it("leaves a foreign domain alone that has only just come into reach", async () => {
+	it("does not take another domain that has only just become reachable", async () => {
 		const heldByFar: Claim = {failureDomain: "b", fence: 2, placer: far}
 		let canReach = false
 		const world = createWorld({
@@ -280,7 +282,7 @@
 		expect([atSmall.fenceOf(), atLarge.fenceOf()]).to.eql([undefined, 1])
 	})
 
-	it("loses to a claim that was written in between, and judges that one anew", async () => {
+	it("yields to a claim that was written in between, and evaluates that one anew", async () => {
 		const world = createWorld({self: two, members: [two], claims: [heldByOne]})
 		const other: Claim = {failureDomain: "a", fence: 9, placer: member("a-3")}
 		world.fake.write(claimKey("a"), other)
@@ -291,7 +293,7 @@
 		expect(world.fenceOf()).to.equal(10)
 	})
 
-	it("does not take its earlier life's domain back from the successor that it does not know yet", async () => {
+	it("does not take its previous session's domain back from a successor that it does not know yet", async () => {
 		const earlier: Claim = {failureDomain: "a", fence: 1, placer: member("a-2", "a", "before")}
 		const successor: Claim = {failureDomain: "a", fence: 2, placer: one}
 		const world = createWorld({
@@ -306,7 +308,7 @@
 		expect(world.fake.puts).to.equal(0)
 	})
 
-	it("looks whether a foreign domain is in reach while its registration still stands", async () => {
+	it("probes another domain while its instance's registration still exists", async () => {
 		const heldByFar: Claim = {failureDomain: "b", fence: 2, placer: far}
 		const world = createWorld({
 			self: one,
@@ -342,20 +344,20 @@
 		return {...world, looks: () => looks}
 	}
 
-	it("leaves the executors of a placer alone that it never hears and that answers", async () => {
+	it("does not probe the executors of an unheard placer that answers pings", async () => {
 		const world = createAway([here, there], true)
 		await world.clock.advance(10_000)
 		expect(world.looks()).to.equal(0)
 		expect(world.fenceOf("b")).to.equal(2)
 	})
 
-	it("leaves a domain to its own instances", async () => {
+	it("are left to the domain's own instances", async () => {
 		const world = createAway([here, there, third], false)
 		await world.clock.advance(10_000)
 		expect(world.fenceOf("b")).to.equal(2)
 	})
 
-	it("leaves it to the first instance of each domain to watch the others", async () => {
+	it("are watched by the first instance of each domain only", async () => {
 		const larger = {...member("a-2"), cpuShare: 1.35}
 		const world = createAway([here, there, larger], false)
 		await world.clock.advance(10_000)
@@ -363,7 +365,7 @@
 		expect(world.fenceOf("b")).to.equal(2)
 	})
 
-	it("takes over from a placer that does not answer when the domain has nobody else", async () => {
+	it("are taken over from a placer that does not answer when the domain has no other instance", async () => {
 		const world = createAway([here, there], false)
 		await world.clock.advance(5_500)
 		expect(world.fenceOf("b")).to.equal(3)
@@ -371,7 +373,7 @@
 })
 
 describe("fleet view", () => {
-	it("keeps the claim with the highest fence, whoever told it", () => {
+	it("keeps the claim with the highest fence, whatever its source", () => {
 		const view = createFleetView(createFakeClock(), () => undefined)
 		const claim = (fence: number): Claim => ({failureDomain: "a", fence, placer: member("a-1")})
 		view.noteClaim(claim(3))
@@ -380,7 +382,7 @@
 	})
 })
 
-/** A list of the executors whose ids stand in a fake store. */
+/** A list of the executors whose ids are in a fake store. */
 function createList() {
 	const clock = createFakeClock()
 	const {fake, store} = createFakeStore()
@@ -401,7 +403,7 @@
 }
 
 describe("executor list", () => {
-	it("keeps entries that lapsed while the store was away until its return is over", async () => {
+	it("keeps entries that lapsed during a store outage until the grace after it is over", async () => {
 		const {clock, fake, list, last} = createList()
 		await clock.advance(1_000)
 		expect(last()).to.eql(["e1", "e2"])
@@ -411,13 +413,13 @@
 		fake.isAway = false
 		await clock.advance(2_000)
 		expect(last()).to.eql(["e1", "e2"])
-		// Two seconds of grace, a reading that notices the return, and one after the grace.
+		// Two seconds of grace, a read that notices the return, and one after the grace.
 		await clock.advance(1_100)
 		expect(last()).to.eql(["e1"])
 		list.close()
 	})
 
-	it("keeps an entry that is back within the grace", async () => {
+	it("keeps an entry that returns within the grace", async () => {
 		const {clock, fake, list, last} = createList()
 		await clock.advance(1_000)
 		fake.isAway = true
@@ -431,11 +433,11 @@
 		list.close()
 	})
 
-	it("drops an entry that is missing with the store there, at the next reading", async () => {
+	it("drops an entry that is missing while the store is available, at the next read", async () => {
 		const {clock, fake, list, last} = createList()
 		await clock.advance(2_000)
 		fake.items.delete("e/1")
-		// An executor that leaves without a notice gets nothing new well within 2 s.
+		// An executor that leaves without notice gets no new work well within 2 s.
 		await clock.advance(700)
 		expect(last()).to.eql(["e2"])
 		list.close()
@@ -443,7 +445,7 @@
 })
 
 describe("executor list, followed by its changes", () => {
-	/** A list whose watch answers when a test says so. */
+	/** A list whose watch is answered by the test. */
 	function createFollowed() {
 		const world = createList()
 		const waiting: ((change: StoreChange | undefined) => void)[] = []
@@ -453,7 +455,7 @@
 		return {...world, change, cut: () => waiting.shift()?.(undefined)}
 	}
 
-	it("is read whole once, and then only what changes", async () => {
+	it("is listed once, and then follows the changes", async () => {
 		const {clock, fake, list, last, change} = createFollowed()
 		await clock.advance(100)
 		change({items: [{key: "e/3", value: "e3", revision: 5}]})
@@ -465,7 +467,7 @@
 		list.close()
 	})
 
-	it("is read whole now and then, so that a change that was never told is found", async () => {
+	it("is listed regularly, so that a missed change is found", async () => {
 		const {clock, fake, list, last, change} = createFollowed()
 		await clock.advance(100)
 		fake.items.delete("e/1")
@@ -478,7 +480,7 @@
 		list.close()
 	})
 
-	it("is read whole again when its changes are lost", async () => {
+	it("is listed again when its changes are lost", async () => {
 		const {clock, fake, list, last, cut} = createFollowed()
 		await clock.advance(100)
 		fake.items.delete("e/1")
@@ -490,7 +492,7 @@
 		list.close()
 	})
 
-	it("does not hold an executor whose beginning and end one answer tells", async () => {
+	it("does not hold an executor that one answer adds and deletes", async () => {
 		const {clock, list, last, change} = createFollowed()
 		await clock.advance(100)
 		change({items: [{key: "e/3", value: "e3", revision: 5}], deleted: ["e/3"]})
@@ -499,13 +501,13 @@
 		list.close()
 	})
 
-	it("drops an executor whose entry another writer has made unreadable, and no other", async () => {
+	it("drops only the executor whose entry became unreadable", async () => {
 		const {clock, list, last, change} = createFollowed()
 		await clock.advance(100)
 		change({deleted: ["e/1"], unreadable: ["e/1"]})
 		await clock.advance(1)
 		expect(last()).to.eql(["e2"])
-		// The next watch is asked once changes have had time to gather.
+		// The next watch follows after the batching pause.
 		await clock.advance(400)
 		change({items: [{key: "e/2", value: {of: "another shape"}, revision: 6}]})
 		await clock.advance(1)
@@ -513,7 +515,7 @@
 		list.close()
 	})
 
-	it("drops such an entry also while others are waited for after the store's return", async () => {
+	it("drops such an entry also during the grace after a store outage", async () => {
 		const {clock, fake, list, last, cut} = createFollowed()
 		await clock.advance(100)
 		fake.isAway = true
@@ -529,7 +531,7 @@
 })
 
 describe("fleet view, entries of another writer", () => {
-	it("holds what it knows, and takes no member or claim from them", () => {
+	it("ignores invalid members and claims", () => {
 		const claims: Claim[] = []
 		const view = createFleetView(createFakeClock(), claim => void claims.push(claim))
 		const odd = [null, 7, "text", {}, {fence: "3"}, {failureDomain: "a", fence: 2, placer: {}}]
--- a/packages/jobs/test/follow.test.ts
+++ b/packages/jobs/test/follow.test.ts
@@ -1,5 +1,5 @@
 /**
- * Following a prefix of the store: what is asked when, and that nothing which was told gets lost.
+ * Following a prefix of the store: which calls are made when, and that no change is lost.
  */
 import {silentLog, type Member} from "@cottonwood/jobs"
 import {createFleetView, followPrefix, memberKey} from "@cottonwood/jobs/internals"
@@ -21,7 +21,7 @@
 	})
 }
 
-/** A follower whose watches and listings answer when a test says so. */
+/** A follower whose watches and listings are answered by the test. */
 function createWorld() {
 	const clock = createFakeClock()
 	const {fake, store} = createFakeStore()
@@ -49,10 +49,9 @@
 	}
 }
 
-describe("a follower that is told to refresh", () => {
+describe("a follower that is asked to refresh", () => {
 	/*
-	 * A peer named a newer version while a listing was under way, whose answer was older. The refresh was dropped, since
-	 * only a watch could be interrupted. Settled by reading, and by this order of calls.
+	 * Guards against dropping a refresh that arrives during a listing, whose answer may be older.
 	 */
 	it("lists again when a listing was under way, which may be older", async () => {
 		const {follower, list, listed} = createWorld()
@@ -64,7 +63,7 @@
 		follower.close()
 	})
 
-	it("gives the connection of the watch back that it leaves", async () => {
+	it("aborts the watch that it leaves, freeing its connection", async () => {
 		const {follower, watches, list} = createWorld()
 		await list(1)
 		expect(watches).to.have.length(1)
@@ -78,11 +77,10 @@
 
 describe("a follower of many keys that change all the time", () => {
 	/*
-	 * Executors renew their entries each second or so, so that a placer's watch on them was answered at once and asked again, and the list
-	 * gone through each time. Settled by the calls to the store: 68,207 in 72 s with six placers of 378 executors, 158 a second and
-	 * placer; with 32 executors and no trouble some 5,600, where a listing each 650 ms had taken 736.
+	 * Guards against a call and a pass over the list for each of many small changes, such as lease
+	 * renewals.
 	 */
-	it("lets changes gather before it asks again", async () => {
+	it("batches changes before the next watch", async () => {
 		const clock = createFakeClock()
 		const {fake, store} = createFakeStore()
 		let calls = 0
@@ -111,7 +109,7 @@
 })
 
 describe("a follower whose watches fail though listings are answered", () => {
-	it("lists at once, and then ever more seldom", async () => {
+	it("lists at once, and then with increasing pauses", async () => {
 		const {clock, follower, watches, list, listings} = createWorld()
 		const failAfter = async (ms: number) => {
 			await clock.advance(ms)
@@ -130,10 +128,9 @@
 	})
 })
 
-describe("fleet view, told a member's beginning and end at once", () => {
+describe("fleet view, given a member's write and deletion in one answer", () => {
 	/*
-	 * An answer of a watch that told a key's writing and then its removal was parted into items and deleted keys, and readers took the deleted
-	 * first: a member stayed known until the next listing, an executor for up to 5 s. Settled by reading, and by this answer.
+	 * Guards against applying an answer's deletions before its writes, which kept a deleted member.
 	 */
 	it("does not hold the member", () => {
 		const view = createFleetView(createFakeClock(), () => undefined)
--- a/packages/jobs/test/losses.test.ts
+++ b/packages/jobs/test/losses.test.ts
@@ -1,5 +1,6 @@
 /**
- * Orders that get lost: noticed within a fraction of a short task, without taking a sound executor for a dead one.
+ * Lost orders are noticed within a fraction of a short task's slack, and slow executors are not
+ * taken for dead ones.
  */
 import type {HoldOrder, HoldReply} from "@cottonwood/jobs"
 import {createLossDetector, type TaskEnd} from "@cottonwood/jobs/internals"
@@ -10,7 +11,7 @@
 import {taskRequest} from "./support/requests.js"
 
 describe("losses", () => {
-	it("are a matter of seconds", async () => {
+	it("count for a few seconds", async () => {
 		const clock = createFakeClock()
 		const losses = createLossDetector(clock)
 		expect(losses.isLossy()).to.equal(false)
@@ -24,7 +25,7 @@
 		expect(losses.isLossy()).to.equal(false)
 	})
 
-	it("are not taken from what is missed at one moment, or seldom", async () => {
+	it("are not inferred from simultaneous or rare time-outs", async () => {
 		const clock = createFakeClock()
 		const losses = createLossDetector(clock)
 		for (let at = 0; at < 5; at++) losses.noteLost()
@@ -36,7 +37,7 @@
 		expect(losses.isLossy()).to.equal(false)
 	})
 
-	it("are told from slow answers by the slowest of late", () => {
+	it("are distinguished from slow answers by the slowest recent one", () => {
 		const losses = createLossDetector(createFakeClock())
 		expect(losses.timeoutMs(90)).to.equal(25)
 		losses.noteAnswer(15)
@@ -49,7 +50,7 @@
 	})
 })
 
-/** A sound executor whose holds are answered as a test decides. */
+/** A healthy executor whose holds are answered by the test. */
 class HeldExecutors extends FakeExecutors {
 	readonly holds: {
 		readonly order: HoldOrder
@@ -78,7 +79,7 @@
 	return {clock, orders, placer, ends, submit}
 }
 
-/** Two tasks run, the answers to their starts were lost three times in all. */
+/** Starts two tasks; three answers to the starts are lost. */
 async function loseStarts(
 	clock: ReturnType<typeof createFakeClock>,
 	orders: FakeExecutors,
@@ -94,11 +95,10 @@
 
 describe("orders that get lost", () => {
 	/*
-	 * Symptom: while 3.6% of all orders stayed without an answer the kind of eight short tasks earned 0.73 of its credit.
-	 * Sequence: a start is lost; after 90 ms it is sent again; the job had 96 ms. Cause: one time-out for all, made for
-	 * slow machines. Settled by `start_order_ms` of 90 beside answers of 2 ms.
+	 * Guards against one long time-out for all orders: a lost start then costs a short task its
+	 * objective.
 	 */
-	it("are sent again as soon as an answer is clearly overdue", async () => {
+	it("are repeated as soon as an answer is clearly overdue", async () => {
 		const {clock, orders, placer, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -124,22 +124,22 @@
 		await clock.advance(100)
 		submit("j.0.0.1")
 		await clock.advance(100)
-		// The first one was sent twice; from then on the answers' time is known.
+		// The first one was sent twice; from then on the answers' latency is known.
 		expect(orders.starts).to.have.length(2)
 	})
 
 	/*
-	 * Symptom and load as above. Sequence: a task ends, the hold that would have told it is lost, and the end is known
-	 * 270 ms later. Cause: one hold at a time. Settled by `run_ended` lines with `tookMs` 270 above the estimate.
+	 * Guards against relying on a single hold: when its answer is lost, an end becomes known too
+	 * late.
 	 */
-	it("make a second hold go beside the first, which tells the end that the first one loses", async () => {
+	it("lead to a second hold, which reports the end that the first one loses", async () => {
 		const {clock, orders, placer, ends, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
 		await loseStarts(clock, orders, submit)
 		const before = orders.fences.length
 		await clock.advance(300)
-		// Two of them each 80 ms, not one each 250 ms.
+		// Two holds each 80 ms, not one each 250 ms.
 		expect(orders.fences.length - before).to.be.within(6, 9)
 		orders.isDeciding = true
 		await clock.advance(100)
@@ -152,11 +152,11 @@
 		expect(ends.map(({type}) => type)).to.eql(["done"])
 		lost?.answer({type: "silent", cause: "test"})
 		await clock.advance(1)
-		// The executor has answered since the lost one was sent.
+		// The executor has answered since the lost hold was sent.
 		expect(placer.counts().usable).to.equal(1)
 	})
 
-	it("take nothing from an answer that another one has overtaken", async () => {
+	it("do not make an outdated answer count after a newer one", async () => {
 		const {clock, orders, placer, ends, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -171,7 +171,7 @@
 		await clock.advance(1)
 		older?.answer({type: "held", clockMs, running, ends: []})
 		await clock.advance(1)
-		// The run that has ended is not taken for one that nobody here started.
+		// The ended run is not taken for an orphan.
 		expect(orders.stops).to.eql([])
 		expect(placer.counts()).to.include({usable: 1, running: 1})
 		expect(ends).to.have.length(1)
--- a/packages/jobs/test/neighbours.test.ts
+++ b/packages/jobs/test/neighbours.test.ts
@@ -1,7 +1,6 @@
 /**
- * All that runs on an executor ends by the oldest confirmation there, and a start looks only at its own. So a task whose caller
- * is heard all the time was started beside a run that had last been confirmed 900 ms before: the start asked for a lease
- * of 284 ms, no hold could renew it, and the task lapsed with its neighbour though another executor was free.
+ * Guards against starting a confirmed task beside a long unconfirmed run, whose short lease ends
+ * both.
  */
 import type {TaskEnd} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -15,7 +14,7 @@
 const NEED = {cpu: 1_000, memoryMb: 1, accelerators: 0}
 
 describe("a start beside a run that is long unconfirmed", () => {
-	it("goes to another executor, where it can be kept", async () => {
+	it("goes to another executor, where its lease can be renewed", async () => {
 		const clock = createFakeClock()
 		const executors = new Map(["e1", "e2"].map(id => [id, new LeasedExecutor(clock)]))
 		const at = (id: string) => executors.get(id) as LeasedExecutor
--- a/packages/jobs/test/reach.test.ts
+++ b/packages/jobs/test/reach.test.ts
@@ -1,5 +1,5 @@
 /**
- * Looking for executors of other failure domains: what it asks of the store, and of them.
+ * Probing executors of other failure domains: its calls to the store and to the executors.
  */
 import {createReachabilityProbe} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -31,12 +31,10 @@
 	return {clock, fake, reach, asked}
 }
 
-describe("looking for executors of other failure domains", () => {
+describe("probing executors of other failure domains", () => {
 	/*
-	 * An instance whose link carries 2 Mbit/s took the placers of five domains for silent and looked for their executors each 0.5 s. Each
-	 * look read the whole list of 66 executors (25 KB), all five at once: half a megabyte in two seconds, as much as the link
-	 * carries. So no placer could be heard any more, and the looks went on. Settled by 97 listings without an answer in 20 s, all at that
-	 * instance, up to five at the same millisecond.
+	 * Guards against reading the whole list for each probe, which filled a narrow link, so that no
+	 * placer was heard and the probes continued.
 	 */
 	it("reads the list once for all of them, and again only after a while", async () => {
 		const {clock, fake, reach} = createWorld()
@@ -58,7 +56,7 @@
 		expect(fake.lists).to.equal(0)
 	})
 
-	it("reads it again when it was not answered", async () => {
+	it("reads the list again when it was not answered", async () => {
 		const {clock, fake, reach} = createWorld()
 		fake.isAway = true
 		expect(await reach.canReachExecutors("a")).to.equal(false)
--- a/packages/jobs/test/registration.test.ts
+++ b/packages/jobs/test/registration.test.ts
@@ -1,5 +1,5 @@
 /**
- * An instance's entry in the store, whatever becomes of the answers to its writes.
+ * An instance's entry in the store survives lost and late answers to its writes.
  */
 import {silentLog, type Member} from "@cottonwood/jobs"
 import type {TransactionalStore} from "@cottonwood/core"
@@ -11,7 +11,10 @@
 const SELF: Member = {name: "a-1", session: "s", failureDomain: "a", address: "a-1:1", cpuShare: 1}
 const LEASE_MS = 3_000
 
-/** A store with leases; what a test withholds is carried out when it says so, should its condition still hold. */
+/**
+ * A store with leases. Withheld writes are carried out when the test says so, if their condition
+ * still holds.
+ */
 function createWorld() {
 	const clock = createFakeClock()
 	const {fake, store} = createFakeStore()
@@ -77,11 +80,10 @@
 
 describe("an instance's registration", () => {
 	/*
-	 * The answer to the first write is lost, so the instance registers again, under another lease, which it renews. The store
-	 * carries the first write out a second later: it took the entry's place, under the lease that nobody renews, and the
-	 * instance was nobody's member from that lease's end on, without knowing it.
+	 * Guards against a late first write replacing the entry under a lease that nobody renews, which
+	 * then drops the instance from the fleet.
 	 */
-	it("stands though a write that was not answered is carried out later", async () => {
+	it("survives an unanswered write that is carried out later", async () => {
 		const world = createWorld()
 		world.losePuts(1)
 		world.begin()
@@ -92,7 +94,7 @@
 		expect(world.entry()).to.eql(SELF)
 	})
 
-	it("takes the place of the entry of a life before", async () => {
+	it("replaces the entry of a previous session", async () => {
 		const world = createWorld()
 		world.write({...SELF, session: "before"})
 		world.begin()
@@ -100,7 +102,7 @@
 		expect(world.entry()).to.eql(SELF)
 	})
 
-	/* Renewals are priced as reads; an entry that is written anew would be a write each second. */
+	/* Renewals cost as much as reads; rewriting the entry would cost a write each second. */
 	it("is renewed and not written again", async () => {
 		const world = createWorld()
 		world.begin()
--- a/packages/jobs/test/sound-rooms.test.ts
+++ b/packages/jobs/test/sound-rooms.test.ts
@@ -1,6 +1,6 @@
 /**
- * What other instances say of their room when it cannot be true: work would go where nothing is free, or an instance would
- * stop at a figure that is none.
+ * Invalid reports of capacity are dropped: work would be sent where nothing is free, or an instance
+ * would crash on them.
  */
 import type {Heartbeat, Claim, Member, Room} from "@cottonwood/jobs"
 import {createFleetView, hasRoom} from "@cottonwood/jobs/internals"
@@ -51,8 +51,8 @@
 	return {view, broken, tellBeat: (rooms: unknown) => view.applyHeartbeat(beat(rooms)), tellNews}
 }
 
-describe("told room", () => {
-	it("that is sound holds", () => {
+describe("reported room", () => {
+	it("is applied when it is valid", () => {
 		const {view, broken, tellBeat, tellNews} = createWorld()
 		view.noteClaim(claim)
 		tellBeat({b: ROOM})
@@ -63,7 +63,7 @@
 		expect(broken).to.eql([])
 	})
 
-	it("that is broken is dropped and counted, and what was told before holds", () => {
+	it("is dropped and counted when it is invalid, keeping the previous report", () => {
 		for (const room of BROKEN) {
 			const {view, broken, tellBeat, tellNews} = createWorld()
 			view.noteClaim(claim)
@@ -76,7 +76,7 @@
 		}
 	})
 
-	it("without labels, or with others than texts, is dropped from a beat", () => {
+	it("is dropped from a heartbeat when its labels are missing or no strings", () => {
 		const {view, broken, tellBeat} = createWorld()
 		view.noteClaim(claim)
 		tellBeat({b: {...ROOM, labels: undefined}})
@@ -85,7 +85,7 @@
 		expect(broken).to.eql(["room", "room"])
 	})
 
-	it("is none at all where the rooms are no list of rooms", () => {
+	it("is dropped when the rooms are no object", () => {
 		const {view, broken, tellBeat, tellNews} = createWorld()
 		for (const rooms of [undefined, null, "rooms"]) {
 			tellBeat(rooms)
@@ -93,10 +93,10 @@
 			expect(hasRoom(rooms as never)).to.equal(false)
 		}
 		expect(broken).to.have.length(6)
-		expect(view.silentMs("b-s"), "its sender lives").to.equal(0)
+		expect(view.silentMs("b-s"), "its sender is heard").to.equal(0)
 	})
 
-	it("of a domain that nobody is known to place is dropped and counted; of one that another places it is only old", () => {
+	it("is dropped and counted without a known placer, and only dropped when another session places the domain", () => {
 		const {view, broken, tellBeat} = createWorld()
 		tellBeat({b: ROOM})
 		expect(broken).to.eql(["room_unclaimed"])
--- a/packages/jobs/test/strain.test.ts
+++ b/packages/jobs/test/strain.test.ts
@@ -1,11 +1,11 @@
 /**
- * An instance that cannot keep up notices it by its own timers.
+ * An instance detects by the lag of its own timers that it cannot keep up.
  */
 import {createLagMonitor} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 
-/** Lets timers fire late, as on a slow machine: time passes before each look. */
+/** Lets timers fire late, as on a slow machine: time passes before each sample. */
 async function runLate(clock: ReturnType<typeof createFakeClock>, lateMs: number, times: number) {
 	for (let at = 0; at < times; at++) {
 		clock.freeze(100 + lateMs)
@@ -14,7 +14,7 @@
 }
 
 describe("strain", () => {
-	it("is noticed when timers fire late without a pause, and lasts a while", async () => {
+	it("is detected after a series of late timers, and lasts a while", async () => {
 		const clock = createFakeClock()
 		const strain = createLagMonitor(clock)
 		await clock.advance(4_000)
@@ -29,7 +29,7 @@
 		strain.close()
 	})
 
-	it("is not taken from one standstill, from small delays, or from a process that has just started", async () => {
+	it("is not inferred from one long pause, small delays, or a process that has just started", async () => {
 		const clock = createFakeClock()
 		const strain = createLagMonitor(clock)
 		await runLate(clock, 60, 12)
--- a/packages/jobs/test/support/fake-clock.ts
+++ b/packages/jobs/test/support/fake-clock.ts
@@ -1,12 +1,15 @@
 /**
- * A clock that moves only when a test says so.
+ * A clock that advances only when a test says so.
  */
 import type {Clock} from "@cottonwood/core"
 
 export interface FakeClock extends Clock {
-	/** Moves on step by step, so that what is due in between happens in order. */
+	/** Advances timer by timer, so that everything due in between runs in order. */
 	advance(ms: number): Promise<void>
-	/** Time passes and nothing runs, as while a process is frozen; what fell due runs at the next `advance`. */
+	/**
+	 * Advances without running timers, as while a process is frozen; they run at the next
+	 * `advance`.
+	 */
 	freeze(ms: number): void
 }
 
@@ -17,7 +20,7 @@
 
 const SETTLE_TURNS = 12
 
-/** Lets promises and immediates that are due run. */
+/** Lets due promises and immediates run. */
 export async function settle(): Promise<void> {
 	for (let turn = 0; turn < SETTLE_TURNS; turn++)
 		await new Promise<void>(resolve => setImmediate(resolve))
--- a/packages/jobs/test/support/fake-executors.ts
+++ b/packages/jobs/test/support/fake-executors.ts
@@ -1,5 +1,5 @@
 /**
- * Executors in memory whose answers a test decides; what is not decided is answered as by a sound one.
+ * In-memory executors whose answers a test may override; by default they behave like healthy ones.
  */
 import type {
 	ExecutorOrders,
@@ -32,18 +32,18 @@
 	readonly starts: (StartOrder & {readonly executor: string})[] = []
 	readonly stops: {readonly task: string; readonly run: number}[] = []
 	readonly fences: number[] = []
-	/** What runs there, by task. */
+	/** Run numbers of the running tasks. */
 	readonly running = new Map<string, number>()
 	isSilent = false
 	isReplaced = false
-	/** What is being stopped is no longer listed as running, and ends so much later. */
+	/** How long a stopped run takes to end, unlisted meanwhile, in milliseconds. */
 	stopTakesMs = 0
-	/** How far everything that runs is listed to be. */
+	/** The progress listed for all runs. */
 	percent = 50
 	startReplies: (StartReply | "silent but done")[] = []
-	/** Holds are answered without the ends, as from before them. */
+	/** Holds time out, so that no ends are reported. */
 	isListingLate = false
-	/** The highest serial that a hold let the executors forget. */
+	/** The highest serial up to which ends may be forgotten. */
 	forgottenUpTo = 0
 	private ends: RunEnd[] = []
 	private serial = 0
@@ -51,7 +51,7 @@
 
 	constructor(private readonly clock: FakeClock) {}
 
-	/** Ends a run, as the executor lists it. */
+	/** Ends a run and lists its end. */
 	end(task: string, how: RunEnd["how"]) {
 		const run = this.running.get(task) ?? 0
 		this.running.delete(task)
@@ -113,7 +113,7 @@
 		this.forgottenUpTo = Math.max(this.forgottenUpTo, order.seenSerial)
 		this.ends = this.ends.filter(({serial}) => serial > order.seenSerial)
 		if (this.ends.length === 0 && order.waitMs > 0) await this.nextEnd(order.waitMs)
-		// A hold without a wait is answered after a moment, so that no loop runs at one instant.
+		// A hold without a wait takes a moment, so that no loop spins at one instant.
 		else await this.clock.sleep(1)
 		const running = [...this.running].map(([task, run]) => ({task, run, percent: this.percent}))
 		if (this.isListingLate) {
@@ -137,7 +137,7 @@
 	}
 }
 
-/** Several executors, each with runs and ends of its own. */
+/** Several executors, each with its own runs and ends. */
 export class FakeFleet implements ExecutorOrders {
 	private readonly fleet = new Map<string, FakeExecutors>()
 
@@ -165,7 +165,7 @@
 		return this.all().reduce((sum, {running}) => sum + running.size, 0)
 	}
 
-	/** Ends that the executors were allowed to forget. */
+	/** Number of ends that the executors were allowed to forget. */
 	get forgotten() {
 		return this.all().reduce((sum, {forgottenUpTo}) => sum + forgottenUpTo, 0)
 	}
@@ -178,13 +178,13 @@
 		for (const executor of this.all()) executor.percent = percent
 	}
 
-	/** Another life answers in an executor's place from its next order on. */
+	/** Another process answers at the executor's address from its next order on. */
 	replace(id: string) {
 		const executor = this.fleet.get(id)
 		if (executor) executor.isReplaced = true
 	}
 
-	/** All runs end without a trace, as when the executors' leases lapse. */
+	/** All runs end unlisted, as when the executors' leases lapse. */
 	clear() {
 		for (const {running} of this.all()) running.clear()
 	}
--- a/packages/jobs/test/support/fake-store.ts
+++ b/packages/jobs/test/support/fake-store.ts
@@ -1,4 +1,6 @@
-/** A store in memory: single values and transactions, under conditions, with the faults of real ones. */
+/**
+ * An in-memory store with conditional writes and transactions, and the faults of real ones.
+ */
 import type {
 	PutResult,
 	Store,
@@ -8,7 +10,7 @@
 	TransactionResult,
 } from "@cottonwood/core"
 
-/** What becomes of the next transaction. */
+/** What happens to the next transaction. */
 export type TransactionFault = "refused" | "lost" | "done but not answered"
 
 export interface FakeStore {
@@ -20,7 +22,7 @@
 	readonly items: Map<string, StoreItem>
 	watch: Store["watch"] | undefined
 	write(key: string, value: unknown): StoreItem
-	/** Carries a transaction out now, as a call that arrives late. */
+	/** Carries a transaction out now, like a call that arrives late. */
 	carryOut(transaction: Transaction): TransactionResult
 }
 
--- a/packages/jobs/test/support/leased-executor.ts
+++ b/packages/jobs/test/support/leased-executor.ts
@@ -1,6 +1,6 @@
 /**
- * An executor in memory that keeps the contract: it obeys the highest fence alone, ends everything when its
- * lease is over, and forgets ends only when told. A test decides which orders it leaves unanswered.
+ * An in-memory executor that keeps the contract: it obeys only the highest fence, ends everything
+ * when its lease is over, and forgets ends only when told. A test decides which orders are lost.
  */
 import type {
 	ExecutorOrders,
@@ -25,16 +25,16 @@
 	readonly fence: number
 }
 
-/** Its lease is looked at this often. */
+/** How often the lease is checked. */
 const TICK_MS = 5
 
 export class LeasedExecutor implements ExecutorOrders {
-	/** What runs there, by task. */
+	/** Run numbers of the running tasks. */
 	readonly running = new Map<string, number>()
 	/** Tasks whose starts were carried out. */
 	readonly started: string[] = []
 	readonly stops: StopOrder[] = []
-	/** Orders that neither arrive nor are answered. */
+	/** Whether an order is lost on the way. */
 	isLost: (order: AnyOrder) => boolean = () => false
 	private fence = 0
 	private leaseUntilMs = -Infinity
@@ -60,7 +60,7 @@
 		this.clock.schedule(TICK_MS, () => this.watchLease())
 	}
 
-	/** What all orders have in common; undefined when the order is to be carried out. */
+	/** The reply of an order that is lost or fenced; undefined when it is to be carried out. */
 	private async refusal(order: AnyOrder, timeoutMs: number) {
 		if (this.isLost(order)) {
 			await this.clock.sleep(timeoutMs)
--- a/packages/jobs/test/support/peers.ts
+++ b/packages/jobs/test/support/peers.ts
@@ -1,4 +1,6 @@
-/** Peers for tests: nobody is quiet, and what a test does not set must not be called. */
+/**
+ * Peers for tests: none is silent, and methods that a test doesn't set must not be called.
+ */
 import type {Peers} from "@cottonwood/jobs/internals"
 
 export function unused(): never {
--- a/packages/jobs/test/support/records.ts
+++ b/packages/jobs/test/support/records.ts
@@ -1,11 +1,13 @@
-/** Records of kept jobs for tests. */
+/**
+ * Records of kept jobs for tests.
+ */
 import type {Step} from "@cottonwood/jobs"
 import type {JobRecord} from "@cottonwood/jobs/internals"
 
 const STEP: Step = {
 	count: 2,
 	need: {cpu: 27_000, memoryMb: 64, accelerators: 0},
-	// Long enough for no run of a test to count as stuck.
+	// Long enough that no run counts as stuck.
 	estimateMs: 20_000,
 	after: [],
 }
--- a/packages/jobs/test/unwanted-runs.test.ts
+++ b/packages/jobs/test/unwanted-runs.test.ts
@@ -1,6 +1,6 @@
 /**
- * Runs that nobody wants any more: each is over a lease later at most, whatever is lost, and its task does not
- * run again beside it.
+ * Unwanted runs end within one lease, whatever is lost, and their tasks don't run again beside
+ * them.
  */
 import type {ExecutorRecord} from "@cottonwood/jobs"
 import type {
@@ -21,7 +21,7 @@
 const TASK = "j.0.0.0"
 const NEIGHBOUR = "k.0.0.0"
 const LEASE_MS = 1_000
-/** Until a stop counts as unanswered, and what is being stopped takes its time. */
+/** Until a stop counts as unanswered, plus the time that a stop takes. */
 const STOP_MS = 150 + 70
 const SMALL = {cpu: 1_000, memoryMb: 1, accelerators: 0}
 const isStop = ({type}: AnyOrder) => type === "stop"
@@ -42,7 +42,7 @@
 		for (const executor of this.executors.values()) executor.isLost = isLost
 	}
 
-	/** Executors where the task runs. */
+	/** Ids of the executors where the task runs. */
 	with(task: string): readonly string[] {
 		return [...this.executors].filter(([, {running}]) => running.has(task)).map(([id]) => id)
 	}
@@ -69,7 +69,7 @@
 		return handle
 	}
 
-	/** Gives all runs on, as a leaving placer does. */
+	/** Hands over all runs, as a leaving placer does. */
 	function giveAll(from: Placer, to: Placer) {
 		from.handOverAll(({req}, runsAt?: RunLocation) => {
 			if (runsAt) to.adopt(req, runsAt, end => void ends.push({...end, task: req.task}))
@@ -80,7 +80,7 @@
 }
 
 describe("unwanted runs", () => {
-	it("are kept alive by no placer that has yet to read which of them it wants", async () => {
+	it("do not have their lease renewed by a placer that has not read the kept jobs yet", async () => {
 		const {clock, executors, place, run} = createWorld()
 		const first = place(7, ["e1"])
 		await run(first, TASK)
@@ -103,7 +103,7 @@
 		expect(ends).to.deep.include({type: "stopped", task: TASK})
 	})
 
-	it("leave their neighbours alone once a stop is answered", async () => {
+	it("do not affect their neighbours once a stop is answered", async () => {
 		const {clock, executors, ends, place, run} = createWorld()
 		const placer = place(7, ["e1"])
 		const handle = await run(placer, TASK)
@@ -116,7 +116,7 @@
 		expect(ends.map(({task, type}) => ({task, type}))).to.eql([{task: TASK, type: "stopped"}])
 	})
 
-	it("get no longer lease by a start beside them", async () => {
+	it("do not have their lease extended by a start beside them", async () => {
 		const {clock, executors, place, run} = createWorld()
 		const placer = place(7, ["e1"])
 		const handle = await run(placer, TASK)
@@ -144,7 +144,7 @@
 		expect(starts).to.have.length(1)
 	})
 
-	it("hold back the same task when it comes anew, and lose no room", async () => {
+	it("delay the same task when it is submitted again, and leak no capacity", async () => {
 		const {clock, executors, ends, place, run} = createWorld()
 		const placer = place(7, ["e1", "e2"])
 		const handle = await run(placer, TASK)
@@ -161,7 +161,7 @@
 		expect(placer.counts()).to.include({running: 1, waiting: 0})
 	})
 
-	it("are handed on as unwanted, from one successor to the next", async () => {
+	it("are handed over as unwanted, from one successor to the next", async () => {
 		const {clock, executors, ends, place, run, giveAll} = createWorld()
 		const first = place(7, ["e1"])
 		const handle = await run(first, TASK)
@@ -183,7 +183,7 @@
 		expect(ends).to.eql([{type: "stopped", task: TASK}])
 	})
 
-	it("are tried again after a handover when they were stopped for their executor's fault", async () => {
+	it("are reported as lost after a handover when they were stopped as stuck", async () => {
 		const {clock, executors, ends, place, run, giveAll} = createWorld()
 		const first = place(7, ["e1"])
 		await run(first, TASK, {isLasting: false, estimateMs: 100})
@@ -202,7 +202,7 @@
 describe("links to executors", () => {
 	const LISTED: readonly ExecutorRecord[] = [record("e1")]
 
-	it("hold no task back for a run that went with its executor's life", async () => {
+	it("do not delay a task for a run that ended with its executor's process", async () => {
 		const {clock, executors, ends, place, run, giveAll} = createWorld()
 		const first = place(7, ["e1"])
 		await run(first, TASK)
@@ -224,7 +224,7 @@
 		expect(second.executors().map(({id}) => id)).to.eql(["e2"])
 	})
 
-	it("hold no task back once the lease of its unknown run is over", async () => {
+	it("do not delay a task once the lease of its unknown run is over", async () => {
 		const {clock, executors, place, run} = createWorld()
 		const first = place(7, ["e1"])
 		await run(first, TASK)
@@ -238,7 +238,7 @@
 		expect(executors.with(TASK)).to.eql(["e2"])
 	})
 
-	it("are closed when a dead executor's end finds nobody", async () => {
+	it("are closed when nobody claims a dead executor's end", async () => {
 		const {clock, executors, place, run} = createWorld()
 		const first = place(7, ["e1"])
 		await run(first, NEIGHBOUR)
@@ -254,7 +254,7 @@
 		expect(second.executors().map(({id}) => id)).to.eql(["e2"])
 	})
 
-	it("take a listed end for the answer of a stop, and are usable again", async () => {
+	it("treat a listed end as the answer to a stop, and are usable again", async () => {
 		const {clock, executors, place, run} = createWorld()
 		const first = place(7, ["e1"])
 		await run(first, TASK)
@@ -306,7 +306,7 @@
 		expect(ends.map(({task, type}) => ({task, type}))).to.eql([{task: NEIGHBOUR, type: "stopped"}])
 	})
 
-	it("begin anew when an executor that was given up is listed again", async () => {
+	it("are created anew when an executor that was given up is listed again", async () => {
 		const {clock, executors, place, run} = createWorld()
 		const placer = place(7, ["e1"])
 		await run(placer, TASK)
@@ -320,7 +320,7 @@
 		expect(placer.counts().usable).to.equal(1)
 	})
 
-	it("tell a run as lost that is handed over after its executor's next life has answered", async () => {
+	it("report a run as lost that is handed over after another process has answered at its executor", async () => {
 		const {clock, executors, ends, place, run, giveAll} = createWorld()
 		const first = place(7, ["e1"])
 		await run(first, TASK)
