--- a/packages/jobs/src/fleet/claims.ts
+++ b/packages/jobs/src/fleet/claims.ts
@@ -29,7 +29,7 @@
  */
 const RETRY_MS = 500
 /** Number of other instances that are pinged to find out whether this one is isolated. */
-const WITNESSES = 3
+const WITNESS_COUNT = 3
 
 /** Resolves with true at the first true answer, with false once all are false. */
 async function isAnyTrue(answers: readonly Promise<boolean>[]): Promise<boolean> {
@@ -52,14 +52,14 @@
 	 * Asks a member for a heartbeat, with the time-out extended by `allowanceMs` milliseconds.
 	 * Resolves with the session that answers at its address; undefined without an answer.
 	 */
-	readonly ping: (member: Member, patienceMs: number) => Promise<string | undefined>
+	readonly ping: (member: Member, allowanceMs: number) => Promise<string | undefined>
 	/** How late this instance's own timers recently fired, in milliseconds. */
 	readonly ownLateMs: () => number
 	/** Whether any executor of the domain answers this instance. */
 	readonly canReachExecutors: (failureDomain: string) => Promise<boolean>
 }
 
-interface Asked {
+interface PingResult {
 	readonly session: string
 	readonly at: number
 	readonly isSilent: boolean
@@ -83,7 +83,7 @@
  * Whether all slices below this one are known to be claimed; a slice has the executors that they
  * leave.
  */
-function knowsSlicesBefore(view: FleetView, name: string): boolean {
+function areLowerSlicesClaimed(view: FleetView, name: string): boolean {
 	const index = sliceIndexOf(name)
 	if (index === 0) return true
 	return view.claimOf(failureDomainOf(name)) !== undefined && index <= view.sliceCount(name)
@@ -96,9 +96,9 @@
 	const learnedAt = new Map<string, {readonly fence: number; readonly at: number}>()
 	const triedAt = new Map<string, number>()
 	const reachableSince = new Map<string, number>()
-	const lookedForAt = new Map<string, number>()
+	const probedAt = new Map<string, number>()
 	/** Last pings of other domains' placers, by domain. */
-	const asked = new Map<string, Asked>()
+	const pings = new Map<string, PingResult>()
 	let isClosed = false
 	let wake = () => undefined as void
 
@@ -119,18 +119,18 @@
 	 * Whether another domain's placer is silent when pinged. Not everybody receives its heartbeats,
 	 * so its silence alone proves nothing. The answer is known at the next check.
 	 */
-	function isSilentWhenAsked({failureDomain, placer}: Claim): boolean {
-		const known = asked.get(failureDomain)
-		if (!known || clock.now() - known.at >= RETRY_MS) askForSign(failureDomain, placer)
+	function isSilentWhenPinged({failureDomain, placer}: Claim): boolean {
+		const known = pings.get(failureDomain)
+		if (!known || clock.now() - known.at >= RETRY_MS) pingPlacer(failureDomain, placer)
 		return known !== undefined && known.session === placer.session && known.isSilent
 	}
 
-	function askForSign(failureDomain: string, placer: Member) {
+	function pingPlacer(failureDomain: string, placer: Member) {
 		const {session} = placer
-		const isSilent = asked.get(failureDomain)?.isSilent ?? false
-		asked.set(failureDomain, {session, at: clock.now(), isSilent})
+		const isSilent = pings.get(failureDomain)?.isSilent ?? false
+		pings.set(failureDomain, {session, at: clock.now(), isSilent})
 		void isAlive(placer).then(isAnswered => {
-			asked.set(failureDomain, {session, at: clock.now(), isSilent: !isAnswered})
+			pings.set(failureDomain, {session, at: clock.now(), isSilent: !isAnswered})
 			if (isAnswered) reachableSince.delete(failureDomain)
 		})
 	}
@@ -141,7 +141,7 @@
 	}
 
 	/** Whether the placer's process was replaced by a new one. */
-	function isFollowed({name, session}: Member): boolean {
+	function hasNewerSession({name, session}: Member): boolean {
 		return view.members().some(member => member.name === name && member.session !== session)
 	}
 
@@ -149,33 +149,33 @@
 	 * Whether the domain has been reachable for long enough. After a network partition heals,
 	 * executors answer before their placer is heard again.
 	 */
-	function isLongInReach(failureDomain: string): boolean {
-		lookForExecutors(failureDomain)
+	function isReachableLongEnough(failureDomain: string): boolean {
+		probeExecutors(failureDomain)
 		const since = reachableSince.get(failureDomain)
 		return since !== undefined && clock.now() - since >= REACHABLE_MS
 	}
 
 	/** Probes some executors of the domain; the answer is known at the next check. */
-	function lookForExecutors(failureDomain: string) {
-		const lookedAt = lookedForAt.get(failureDomain) ?? -Infinity
-		if (clock.now() - lookedAt < RETRY_MS) return
-		lookedForAt.set(failureDomain, clock.now())
+	function probeExecutors(failureDomain: string) {
+		const lastProbedAt = probedAt.get(failureDomain) ?? -Infinity
+		if (clock.now() - lastProbedAt < RETRY_MS) return
+		probedAt.set(failureDomain, clock.now())
 		void deps.canReachExecutors(failureDomainOf(failureDomain)).then(canReach => {
 			if (!canReach) reachableSince.delete(failureDomain)
 			else if (!reachableSince.has(failureDomain)) reachableSince.set(failureDomain, clock.now())
 		})
 	}
 
-	function mustWaitMs(failureDomain: string, claim: Claim | undefined): number {
+	function requiredWaitMs(failureDomain: string, claim: Claim | undefined): number {
 		const isOwn = failureDomainOf(failureDomain) === self.failureDomain
-		const natives = view.membersOf(failureDomain).filter(isAnother(claim?.placer))
-		const candidates = isOwn ? natives : view.members().filter(isAnother(claim?.placer))
+		const ownInstances = view.membersOf(failureDomain).filter(isAnother(claim?.placer))
+		const candidates = isOwn ? ownInstances : view.members().filter(isAnother(claim?.placer))
 		const isDivided = view.sliceCount(failureDomain) > 1
 		const rank = isOwn && isDivided ? rankForSlice(candidates) : rankOf(candidates)
 		const ranked = rank * RANK_STEP_MS
-		const isGone = !claim || isFollowed(claim.placer)
+		const isGone = !claim || hasNewerSession(claim.placer)
 		if (isOwn) return ranked + (isGone ? 0 : silenceLimitMs(deps, claim.placer))
-		if (natives.length > 0) return Infinity
+		if (ownInstances.length > 0) return Infinity
 		return ranked + FOREIGN_SILENT_MS + (claim ? 0 : START_GRACE_MS)
 	}
 
@@ -186,7 +186,7 @@
 	 * Whether the claim is of this instance's previous process: nobody else can be the placer, and
 	 * no ping needs to delay the claim.
 	 */
-	function isOwnEarlierLife(claim: Claim | undefined): boolean {
+	function isOwnPreviousSession(claim: Claim | undefined): boolean {
 		return claim?.placer.name === self.name && claim.placer.session !== self.session
 	}
 
@@ -195,40 +195,40 @@
 		const others = view.members().filter(isAnother(placer)).filter(isAnother(self))
 		if (others.length === 0) return false
 		const answers = others
-			.slice(0, WITNESSES)
+			.slice(0, WITNESS_COUNT)
 			.map(async other => (await deps.ping(other, latenessAllowanceMs(deps, other))) !== undefined)
 		return !(await isAnyTrue(answers))
 	}
 
-	async function consider(failureDomain: string) {
+	async function considerClaim(failureDomain: string) {
 		const claim = view.claimOf(failureDomain)
 		if (claim?.placer.session === self.session) return
 		const isOwn = failureDomainOf(failureDomain) === self.failureDomain
 		// One instance of each failure domain watches the others: any partition leaves one on each
 		// side.
 		if (!isOwn && rankOf(view.membersOf(self.failureDomain)) > 0) return
-		const waitMs = mustWaitMs(failureDomain, claim)
-		const vacant = vacantMs(failureDomain, claim)
+		const waitMs = requiredWaitMs(failureDomain, claim)
+		const vacantForMs = vacantMs(failureDomain, claim)
 		// Checked from the first silence on, so that the waiting times overlap.
-		const isForeignInReach =
-			!isOwn && isForeignVacant(claim, vacant) && isLongInReach(failureDomain)
-		if (!isOwnEarlierLife(claim) && vacant < waitMs) return
+		const isForeignReachable =
+			!isOwn && isForeignVacant(claim, vacantForMs) && isReachableLongEnough(failureDomain)
+		if (!isOwnPreviousSession(claim) && vacantForMs < waitMs) return
 		if (clock.now() - (triedAt.get(failureDomain) ?? -Infinity) < RETRY_MS) return
 		triedAt.set(failureDomain, clock.now())
-		if (!isOwnEarlierLife(claim)) {
+		if (!isOwnPreviousSession(claim)) {
 			if (claim && (await isAlive(claim.placer))) {
 				reachableSince.delete(failureDomain)
 				return
 			}
 			if (await isIsolated(claim?.placer)) return noteHeldBack(failureDomain, "nobody answers us")
 		}
-		if (!isOwn && !isForeignInReach)
+		if (!isOwn && !isForeignReachable)
 			return noteHeldBack(failureDomain, "its executors were not in reach for long enough")
-		await write(failureDomain, claim?.fence, `no word for ${Math.round(vacant)} ms`)
+		await write(failureDomain, claim?.fence, `no word for ${Math.round(vacantForMs)} ms`)
 	}
 
-	function isForeignVacant(claim: Claim | undefined, vacant: number): boolean {
-		return vacant > PLACER_SILENT_MS && (!claim || isSilentWhenAsked(claim))
+	function isForeignVacant(claim: Claim | undefined, vacantForMs: number): boolean {
+		return vacantForMs > PLACER_SILENT_MS && (!claim || isSilentWhenPinged(claim))
 	}
 
 	function noteHeldBack(failureDomain: string, cause: string) {
@@ -243,7 +243,7 @@
 	 */
 	async function write(
 		failureDomain: string,
-		judgedFence: number | undefined,
+		expectedFence: number | undefined,
 		cause: string,
 	): Promise<boolean> {
 		const key = claimKey(failureDomain)
@@ -257,7 +257,7 @@
 		// A slice whose fence is at its floor was never claimed.
 		const floor = fenceFloorOf(failureDomain)
 		const fence = known?.fence ?? floor
-		if (fence !== (judgedFence ?? floor)) return false
+		if (fence !== (expectedFence ?? floor)) return false
 		const claim: Claim = {failureDomain, fence: fence + 1, placer: self}
 		const put = await store.put(key, claim, {expect: item?.revision ?? 0})
 		metrics.count("claims", put.type)
@@ -285,7 +285,7 @@
 			await pause()
 			if (deps.isLeaving()) continue
 			for (const failureDomain of deps.failureDomains()) {
-				if (!isClosed) await consider(failureDomain)
+				if (!isClosed) await considerClaim(failureDomain)
 			}
 		}
 	}
@@ -293,7 +293,7 @@
 	void loop()
 	return {
 		claimNow(failureDomain, fence) {
-			if (!knowsSlicesBefore(view, failureDomain)) {
+			if (!areLowerSlicesClaimed(view, failureDomain)) {
 				metrics.count("broken_assumptions", "slice_asked_for")
 				return Promise.resolve(false)
 			}
--- a/packages/jobs/src/fleet/configuration.ts
+++ b/packages/jobs/src/fleet/configuration.ts
@@ -35,9 +35,9 @@
  * How often all keys are listed, which bounds how long a missed change stays unnoticed. They are
  * few, so a listing costs no more than a watch.
  */
-const WHOLE_MS = 10_000
+const RELIST_MS = 10_000
 
-type Told = Pick<StoreListing, "items" | "unreadable">
+type PrefixItems = Pick<StoreListing, "items" | "unreadable">
 
 export interface Configuration {
 	current(): FleetConfig | undefined
@@ -54,7 +54,7 @@
 export function followConfiguration(deps: ConfigurationDeps): Configuration {
 	const {clock, store, log, metrics, configKey, decodeConfig, evacuations} = deps
 	let current: FleetConfig | undefined
-	let newestElsewhere = 0
+	let newestAtPeers = 0
 
 	function noteUnreadable(cause: string) {
 		metrics.count("broken_assumptions", "config_undecodable")
@@ -67,12 +67,12 @@
 	}
 
 	/** Applies every version of an answer, in the order in which they were written. */
-	function takeAll({items, unreadable = []}: Told, outcome: "listed" | "told") {
-		for (const item of items) take(item, outcome, items.length)
+	function applyAll({items, unreadable = []}: PrefixItems, outcome: "listed" | "told") {
+		for (const item of items) applyItem(item, outcome, items.length)
 		if (unreadable.includes(configKey)) noteUnreadable("its bytes cannot be read")
 	}
 
-	function take(item: StoreItem, outcome: "listed" | "told", told: number) {
+	function applyItem(item: StoreItem, outcome: "listed" | "told", told: number) {
 		const decoded = decodeConfig(item)
 		if (!decoded) return
 		if (decoded.isErr()) return noteUnreadable(decoded.error)
@@ -90,13 +90,13 @@
 		log,
 		prefix: deps.operatorPrefix,
 		waitMs: WATCH_MS,
-		relistMs: WHOLE_MS,
+		relistMs: RELIST_MS,
 		onListing(listing) {
-			takeAll(listing, "listed")
+			applyAll(listing, "listed")
 			evacuations.applyListing(listing)
 		},
 		onChange(change) {
-			takeAll(change, "told")
+			applyAll(change, "told")
 			evacuations.applyChange(change)
 		},
 	})
@@ -104,8 +104,8 @@
 		current: () => current,
 		noteNewer(version, peer) {
 			if (version <= (current?.version ?? 0)) return
-			if (version > newestElsewhere) {
-				newestElsewhere = version
+			if (version > newestAtPeers) {
+				newestAtPeers = version
 				const fields = {configVersion: version, peer, inputAgeMs: Math.round(follower.heardMs())}
 				log.event("config", "config_behind", "config: a peer has a newer version.", fields)
 			}
--- a/packages/jobs/src/fleet/evacuations.ts
+++ b/packages/jobs/src/fleet/evacuations.ts
@@ -33,18 +33,18 @@
 	applyListing(listing: StoreListing): void
 	applyChange(change: StoreChange): void
 	/** Applies a peer's report if it is newer. */
-	applySnapshot(news: EvacuationSnapshot, peer: string): void
+	applySnapshot(report: EvacuationSnapshot, peer: string): void
 }
 
 /** What the store itself reported, by key, since a deletion names only the key. */
-interface Told {
+interface StoreState {
 	readonly revision: number
 	readonly byKey: ReadonlyMap<string, string>
 }
 
 export function createEvacuations(deps: EvacuationsDeps): Evacuations {
 	const {log, metrics, decodeEvacuation, onChange} = deps
-	let told: Told = {revision: -Infinity, byKey: new Map()}
+	let stored: StoreState = {revision: -Infinity, byKey: new Map()}
 	let current: EvacuationSnapshot | undefined
 
 	function noteUnreadable(key: string, cause: string) {
@@ -55,7 +55,7 @@
 	}
 
 	/** Adds an item's evacuation; an unreadable item changes nothing. */
-	function takeItem(byKey: Map<string, string>, item: StoreItem) {
+	function addItem(byKey: Map<string, string>, item: StoreItem) {
 		const decoded = decodeEvacuation(item)
 		if (!decoded) return
 		if (decoded.isOk()) return void byKey.set(item.key, decoded.value)
@@ -64,7 +64,7 @@
 	}
 
 	function keepKnown(byKey: Map<string, string>, key: string) {
-		const known = told.byKey.get(key)
+		const known = stored.byKey.get(key)
 		if (known !== undefined) byKey.set(key, known)
 	}
 
@@ -81,13 +81,13 @@
 	}
 
 	/** Applies the store's state, unless a peer has reported a later one. */
-	function adopt(next: Told) {
-		told = next
+	function applyStored(next: StoreState) {
+		stored = next
 		if (current && current.revision > next.revision) return
-		takeInForce({revision: next.revision, failureDomains: [...new Set(next.byKey.values())]})
+		setCurrent({revision: next.revision, failureDomains: [...new Set(next.byKey.values())]})
 	}
 
-	function takeInForce(next: EvacuationSnapshot, peer?: string) {
+	function setCurrent(next: EvacuationSnapshot, peer?: string) {
 		const before = current?.failureDomains ?? []
 		// Heartbeats omit evacuations until there has been one.
 		if (!current && next.failureDomains.length === 0) return
@@ -113,23 +113,23 @@
 		snapshot: () => current,
 		applyListing({items, unreadable, revision}) {
 			const byKey = new Map<string, string>()
-			for (const item of items) takeItem(byKey, item)
+			for (const item of items) addItem(byKey, item)
 			noteUnreadableKeys(byKey, unreadable)
-			adopt({revision, byKey})
+			applyStored({revision, byKey})
 		},
 		applyChange({items, deleted, unreadable = [], revision}) {
 			// A watch without changes proves nothing at its revision: it may have missed a change
 			// that a peer reported.
 			if (items.length + deleted.length === 0) return
-			const byKey = new Map(told.byKey)
-			for (const item of items) takeItem(byKey, item)
+			const byKey = new Map(stored.byKey)
+			for (const item of items) addItem(byKey, item)
 			for (const key of deleted) if (!unreadable.includes(key)) byKey.delete(key)
 			noteUnreadableKeys(byKey, unreadable)
-			adopt({revision, byKey})
+			applyStored({revision, byKey})
 		},
-		applySnapshot(news, peer) {
-			if (news.revision > Math.max(told.revision, current?.revision ?? -Infinity))
-				takeInForce(news, peer)
+		applySnapshot(report, peer) {
+			if (report.revision > Math.max(stored.revision, current?.revision ?? -Infinity))
+				setCurrent(report, peer)
 		},
 	}
 }
--- a/packages/jobs/src/fleet/follow.ts
+++ b/packages/jobs/src/fleet/follow.ts
@@ -13,9 +13,9 @@
  * Pause after a failed listing, and between two listings while watches fail; doubled up to the
  * maximum until a watch is answered.
  */
-const FIRST_PAUSE_MS = 80
+const MIN_PAUSE_MS = 80
 /** Bounds how late the store's return is noticed. */
-const LONGEST_PAUSE_MS = 400
+const MAX_PAUSE_MS = 400
 /** How often an idle follower checks whether its prefix is needed. */
 const IDLE_MS = 650
 
@@ -58,17 +58,17 @@
 	close(): void
 }
 
-const isNews = ({items, deleted}: StoreChange) => items.length + deleted.length > 0
+const hasChanges = ({items, deleted}: StoreChange) => items.length + deleted.length > 0
 
 /** Follows a prefix until closed. */
 export function followPrefix(deps: FollowDeps): Follower {
-	const {clock, store, log, prefix, waitMs, relistMs: wholeMs, batchMs: gatherMs = 0} = deps
+	const {clock, store, log, prefix, waitMs, relistMs, batchMs = 0} = deps
 	const isNeeded = deps.isNeeded ?? (() => true)
 	let isClosed = false
 	let isRefreshDue = false
 	/** Ends the current pause or watch. */
 	let interrupt: () => void = () => undefined
-	let pauseMs = FIRST_PAUSE_MS
+	let pauseMs = MIN_PAUSE_MS
 	let lostSince: number | undefined
 	let heardAt = -Infinity
 
@@ -103,7 +103,7 @@
 	/** The current pause in milliseconds; doubles the next one. */
 	function nextPauseMs(): number {
 		const ms = pauseMs
-		pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2)
+		pauseMs = Math.min(MAX_PAUSE_MS, pauseMs * 2)
 		return ms
 	}
 
@@ -141,17 +141,17 @@
 	/** Applies changes until the next listing is due; false when the changes were lost. */
 	async function followFrom(revision: number, listedAt: number): Promise<boolean> {
 		let next: number | undefined = revision
-		const isCurrent = () => !isRefreshDue && isNeeded() && clock.now() - listedAt < wholeMs
+		const isCurrent = () => !isRefreshDue && isNeeded() && clock.now() - listedAt < relistMs
 		while (next !== undefined && isCurrent()) {
 			const change: StoreChange | undefined = await watch(next)
 			if (isClosed) return false
 			if (change) {
-				pauseMs = FIRST_PAUSE_MS
+				pauseMs = MIN_PAUSE_MS
 				noteHeard()
 				deps.onChange(change)
 			}
 			next = change?.revision
-			if (change && isNews(change) && gatherMs > 0) await pause(gatherMs)
+			if (change && hasChanges(change) && batchMs > 0) await pause(batchMs)
 		}
 		return next !== undefined
 	}
--- a/packages/jobs/src/fleet/heartbeats.ts
+++ b/packages/jobs/src/fleet/heartbeats.ts
@@ -15,7 +15,7 @@
 import {isRoom} from "./room-validation.js"
 
 /** A fifth of the silence after which a placer is replaced. */
-const BEAT_MS = 200
+const HEARTBEAT_MS = 200
 /**
  * Least time between two room updates when capacity appeared or ran out; a fraction of a short
  * task.
@@ -26,18 +26,18 @@
 /** Share of this instance's link for room updates; the rest carries jobs, orders and answers. */
 const ROOM_LINK_SHARE = 0.05
 /** Size of one room update for one failure domain, with its packet's headers. */
-const ROOM_NEWS_BYTES = 230
+const ROOM_UPDATE_BYTES = 230
 const BYTES_PER_MS_AT_1_MBPS = 125
 /**
  * Sessions whose known fences are kept, some 0.2 KB each; a forgotten one is sent all claims again.
  */
-const MAX_READERS = 1_000
+const MAX_SESSIONS = 1_000
 /** Thirty times the longest round trip. */
 const PING_TIMEOUT_MS = 350
 /**
  * After this silence the own domain's placer may have changed, so all placers are sent heartbeats.
  */
-const HOME_QUIET_MS = 3 * BEAT_MS
+const HOME_SILENT_MS = 3 * HEARTBEAT_MS
 
 export interface HeartbeatDatagram extends Heartbeat {
 	readonly type: "beat"
@@ -83,7 +83,7 @@
 	 * Asks a member for a heartbeat, with the time-out extended by `allowanceMs` milliseconds.
 	 * Resolves with the session that answers at its address; undefined without an answer.
 	 */
-	ping(member: Member, patienceMs: number): Promise<string | undefined>
+	ping(member: Member, allowanceMs: number): Promise<string | undefined>
 	close(): void
 }
 
@@ -102,41 +102,41 @@
 }
 
 /** Claims that a receiver with these fences lacks; all of them when its fences are unknown. */
-function lackedClaims(claims: readonly Claim[], known: Fences = {}): readonly Claim[] {
+function missingClaims(claims: readonly Claim[], known: Fences = {}): readonly Claim[] {
 	return claims.filter(({failureDomain, fence}) => (known[failureDomain] ?? 0) < fence)
 }
 
 /** Removes labels: they change with the list of executors, so heartbeats carry them soon enough. */
 function withoutLabels(rooms: Readonly<Record<string, Room>>): RoomUpdate["rooms"] {
-	const told = Object.entries(rooms).map(([failureDomain, {freeCpu, totalCpu, waitingWork}]) => [
+	const entries = Object.entries(rooms).map(([failureDomain, {freeCpu, totalCpu, waitingWork}]) => [
 		failureDomain,
 		{freeCpu, totalCpu, waitingWork},
 	])
-	return Object.fromEntries(told) as RoomUpdate["rooms"]
+	return Object.fromEntries(entries) as RoomUpdate["rooms"]
 }
 
 export function createHeartbeats(deps: HeartbeatsDeps): Heartbeats {
-	const {clock, peers, view, self, ownHeartbeat: own} = deps
+	const {clock, peers, view, self, ownHeartbeat} = deps
 	let isClosed = false
 	let lastRoomAt = -Infinity
 	let lastHadRoom = false
-	let lastTold = ""
-	let isLookDue = false
+	let lastDigest = ""
+	let isRoomCheckDue = false
 	/** Fences that each session last reported. */
-	const knownThere = new Map<string, Fences>()
+	const knownFences = new Map<string, Fences>()
 
-	function tell({address, session}: Member, wantsAnswer: boolean) {
-		const beat = own()
-		const fences = fencesOf(beat.claims)
-		const claims = lackedClaims(beat.claims, knownThere.get(session))
-		deps.send(address, {...beat, type: "beat", claims, fences, wantsAnswer})
+	function sendHeartbeat({address, session}: Member, wantsAnswer: boolean) {
+		const heartbeat = ownHeartbeat()
+		const fences = fencesOf(heartbeat.claims)
+		const claims = missingClaims(heartbeat.claims, knownFences.get(session))
+		deps.send(address, {...heartbeat, type: "beat", claims, fences, wantsAnswer})
 	}
 
 	/** Least time between two room updates, in milliseconds, as the link's share allows. */
 	function pacedMs(ms: number): number {
-		const readers = Math.max(1, view.claims().length - 1)
+		const receivers = Math.max(1, view.claims().length - 1)
 		const spareBytesPerMs = deps.linkMbps * BYTES_PER_MS_AT_1_MBPS * ROOM_LINK_SHARE
-		return Math.max(ms, (readers * ROOM_NEWS_BYTES) / spareBytesPerMs)
+		return Math.max(ms, (receivers * ROOM_UPDATE_BYTES) / spareBytesPerMs)
 	}
 
 	function otherPlacers(): Iterable<Member> {
@@ -158,68 +158,69 @@
 		)
 	}
 
-	function beatAll() {
+	function sendHeartbeats() {
 		if (isClosed) return
 		const homes = homePlacers()
-		const isHomeHeard = homes.every(home => home && view.silentMs(home.session) < HOME_QUIET_MS)
-		const tellsAll = isPlacer() || !isHomeHeard || deps.needsOthers()
+		const isHomeHeard = homes.every(home => home && view.silentMs(home.session) < HOME_SILENT_MS)
+		const sendsToAll = isPlacer() || !isHomeHeard || deps.needsOthers()
 		const isHome = ({session}: Member) => homes.some(home => home?.session === session)
-		for (const placer of otherPlacers()) if (tellsAll || isHome(placer)) tell(placer, true)
-		clock.schedule(BEAT_MS, beatAll)
+		for (const placer of otherPlacers())
+			if (sendsToAll || isHome(placer)) sendHeartbeat(placer, true)
+		clock.schedule(HEARTBEAT_MS, sendHeartbeats)
 	}
 
 	/**
 	 * Schedules the next check of the capacity, which isn't computed at each of the many changes in
 	 * between.
 	 */
-	function lookSoon(ms: number) {
-		isLookDue = true
+	function scheduleRoomCheck(ms: number) {
+		isRoomCheckDue = true
 		clock.schedule(ms, () => {
-			isLookDue = false
-			if (!isClosed) lookAtRoom()
+			isRoomCheckDue = false
+			if (!isClosed) sendRoomIfChanged()
 		})
 	}
 
-	function lookAtRoom() {
+	function sendRoomIfChanged() {
 		const rooms = deps.rooms()
 		const digest = digestOf(rooms)
-		if (digest === lastTold) return
+		if (digest === lastDigest) return
 		const sinceLast = clock.now() - lastRoomAt
 		const isUrgent = hasRoom(rooms) !== lastHadRoom
-		if (!isUrgent && sinceLast < pacedMs(ROOM_MS)) return lookSoon(pacedMs(URGENT_ROOM_MS))
+		if (!isUrgent && sinceLast < pacedMs(ROOM_MS)) return scheduleRoomCheck(pacedMs(URGENT_ROOM_MS))
 		lastRoomAt = clock.now()
 		lastHadRoom = hasRoom(rooms)
-		lastTold = digest
-		const news: RoomDatagram = {type: "room", session: self.session, rooms: withoutLabels(rooms)}
-		for (const {address} of otherPlacers()) deps.send(address, news)
+		lastDigest = digest
+		const update: RoomDatagram = {type: "room", session: self.session, rooms: withoutLabels(rooms)}
+		for (const {address} of otherPlacers()) deps.send(address, update)
 	}
 
-	function noteKnownThere(session: string, fences: Fences) {
-		knownThere.delete(session)
-		knownThere.set(session, fences)
-		const [oldest] = knownThere.keys()
-		if (knownThere.size > MAX_READERS && oldest !== undefined) knownThere.delete(oldest)
+	function noteKnownFences(session: string, fences: Fences) {
+		knownFences.delete(session)
+		knownFences.set(session, fences)
+		const [oldest] = knownFences.keys()
+		if (knownFences.size > MAX_SESSIONS && oldest !== undefined) knownFences.delete(oldest)
 	}
 
-	function takeBeat(message: HeartbeatDatagram) {
-		const {from, fences, wantsAnswer, ...beat} = message
-		noteKnownThere(from.session, fences)
-		deps.onHeartbeat({...beat, from})
-		if (wantsAnswer) tell(from, false)
+	function receiveHeartbeat(message: HeartbeatDatagram) {
+		const {from, fences, wantsAnswer, ...heartbeat} = message
+		noteKnownFences(from.session, fences)
+		deps.onHeartbeat({...heartbeat, from})
+		if (wantsAnswer) sendHeartbeat(from, false)
 	}
 
-	beatAll()
+	sendHeartbeats()
 	return {
 		receive(message) {
 			if (message.type === "room") deps.onRoomNews(message)
-			else takeBeat(message)
+			else receiveHeartbeat(message)
 		},
 		noteRoomChange() {
-			if (isLookDue) return
-			lookSoon(Math.max(0, lastRoomAt + pacedMs(URGENT_ROOM_MS) - clock.now()))
+			if (isRoomCheckDue) return
+			scheduleRoomCheck(Math.max(0, lastRoomAt + pacedMs(URGENT_ROOM_MS) - clock.now()))
 		},
-		async ping(member, patienceMs) {
-			const answer = await peers.beat(member.address, own(), PING_TIMEOUT_MS + patienceMs)
+		async ping(member, allowanceMs) {
+			const answer = await peers.beat(member.address, ownHeartbeat(), PING_TIMEOUT_MS + allowanceMs)
 			if (answer) deps.onHeartbeat(answer)
 			return answer?.from.session
 		},
--- a/packages/jobs/src/fleet/lag-monitor.ts
+++ b/packages/jobs/src/fleet/lag-monitor.ts
@@ -18,13 +18,13 @@
  * How long strain lasts after it was last detected: work sent elsewhere leaves timers in time
  * though the machine is as slow as before.
  */
-const LASTING_MS = 2_000
+const STRAIN_LASTS_MS = 2_000
 
 /**
  * How long the worst lateness is reported: as long as a late process may take to show that it
  * lives.
  */
-const LATE_TOLD_MS = 2_000
+const LATENESS_REPORTED_MS = 2_000
 
 export interface LagMonitor {
 	isStrained(): boolean
@@ -46,23 +46,23 @@
 		const isLate = now - dueAt >= LATE_MS && now - startedAt >= WARM_UP_MS
 		lateInARow = isLate ? lateInARow + 1 : 0
 		if (lateInARow >= LATE_IN_A_ROW) strainedAt = now
-		next()
+		scheduleSample()
 	}
 
 	function noteLateness(lateMs: number, now: number) {
-		if (lateMs >= worst.lateMs || now - worst.at >= LATE_TOLD_MS) worst = {lateMs, at: now}
+		if (lateMs >= worst.lateMs || now - worst.at >= LATENESS_REPORTED_MS) worst = {lateMs, at: now}
 	}
 
-	function next() {
+	function scheduleSample() {
 		if (isClosed) return
 		const dueAt = clock.now() + SAMPLE_MS
 		clock.schedule(SAMPLE_MS, () => sample(dueAt))
 	}
 
-	next()
+	scheduleSample()
 	return {
 		lateMs: () => worst.lateMs,
-		isStrained: () => clock.now() - strainedAt < LASTING_MS,
+		isStrained: () => clock.now() - strainedAt < STRAIN_LASTS_MS,
 		close() {
 			isClosed = true
 		},
--- a/packages/jobs/src/fleet/members.ts
+++ b/packages/jobs/src/fleet/members.ts
@@ -14,10 +14,10 @@
 import {isLabelledRoom, isRoom, validRooms, type InvalidReport} from "./room-validation.js"
 
 export const FLEET_PREFIX = "fleet/"
-const NODE_PREFIX = "fleet/node/"
+const MEMBER_PREFIX = "fleet/node/"
 const CLAIM_PREFIX = "fleet/claim/"
 
-export const memberKey = (name: string) => NODE_PREFIX + name
+export const memberKey = (name: string) => MEMBER_PREFIX + name
 export const claimKey = (failureDomain: string) => CLAIM_PREFIX + failureDomain
 
 export interface ReportedRoom {
@@ -29,8 +29,8 @@
 	/** Applies a complete listing of the store. */
 	applyListing(items: readonly StoreItem[]): void
 	applyChanges(items: readonly StoreItem[], deleted: readonly string[]): void
-	applyHeartbeat(beat: Heartbeat): void
-	applyRoomUpdate(news: RoomUpdate): void
+	applyHeartbeat(heartbeat: Heartbeat): void
+	applyRoomUpdate(update: RoomUpdate): void
 	noteClaim(claim: Claim): void
 	/** The claims in force, those of slices included. */
 	claims(): readonly Claim[]
@@ -94,15 +94,15 @@
 	return isWhole || (key === claimKey(value.failureDomain) && isFenceInRange(value))
 }
 
-interface Heard {
+interface SessionStatus {
 	readonly at: number
 	readonly isLeaving: boolean
 	readonly isStrained?: boolean
-	readonly isUnreached?: boolean
+	readonly isUnreachable?: boolean
 	readonly lateMs?: number
 }
 
-const NEVER_HEARD: Heard = {at: -Infinity, isLeaving: false}
+const NEVER_HEARD: SessionStatus = {at: -Infinity, isLeaving: false}
 
 /**
  * `onInvalid` is called for each invalid report, which is dropped; with the claim, if it is about
@@ -111,17 +111,17 @@
 export function createFleetView(
 	clock: Clock,
 	onClaim: (claim: Claim) => void,
-	onBroken: (reason: InvalidReport, claim?: Claim) => void = () => undefined,
+	onInvalid: (reason: InvalidReport, claim?: Claim) => void = () => undefined,
 ): FleetView {
 	const members = new Map<string, Member>()
 	const claims = new Map<string, Claim>()
-	const heard = new Map<string, Heard>()
+	const statuses = new Map<string, SessionStatus>()
 	const rooms = new Map<string, ReportedRoom>()
 	const learnedAt = new Map<string, number>()
 	let inForce: readonly Claim[] = []
 
 	function noteClaim(claim: Claim) {
-		if (!isFenceInRange(claim)) return onBroken("slice_claim", claim)
+		if (!isFenceInRange(claim)) return onInvalid("slice_claim", claim)
 		const known = claims.get(claim.failureDomain)
 		if (known && known.fence >= claim.fence) return
 		claims.set(claim.failureDomain, claim)
@@ -134,44 +134,44 @@
 	/** Whether the session is known to place the domain. */
 	function isPlacedBy(failureDomain: string, session: string): boolean {
 		const claim = claims.get(failureDomain)
-		if (!claim) onBroken("room_unclaimed")
+		if (!claim) onInvalid("room_unclaimed")
 		return claim?.placer.session === session
 	}
 
-	function takeItem(item: StoreItem) {
+	function applyItem(item: StoreItem) {
 		const {key, value} = item
-		if (key.startsWith(NODE_PREFIX)) {
+		if (key.startsWith(MEMBER_PREFIX)) {
 			if (isMember(value)) members.set(key, value)
 			else members.delete(key)
 		}
 		if (!key.startsWith(CLAIM_PREFIX)) return
 		if (isClaimAt(key, value)) noteClaim(value)
-		else if (isClaim(value)) onBroken("slice_claim", value)
+		else if (isClaim(value)) onInvalid("slice_claim", value)
 	}
 
 	return {
 		noteClaim,
 		applyListing(items) {
 			members.clear()
-			for (const item of items) takeItem(item)
+			for (const item of items) applyItem(item)
 		},
 		applyChanges(items, deleted) {
-			for (const item of items) takeItem(item)
+			for (const item of items) applyItem(item)
 			for (const key of deleted) members.delete(key)
 		},
-		applyHeartbeat(beat) {
+		applyHeartbeat(heartbeat) {
 			const at = clock.now()
-			const {isLeaving, isStrained, lateMs} = beat
-			heard.set(beat.from.session, {at, isLeaving, isStrained, lateMs})
-			for (const claim of beat.claims) noteClaim(claim)
-			for (const [failureDomain, room] of validRooms(beat.rooms, isLabelledRoom, onBroken))
-				if (isPlacedBy(failureDomain, beat.from.session)) rooms.set(failureDomain, {room, at})
+			const {isLeaving, isStrained, lateMs} = heartbeat
+			statuses.set(heartbeat.from.session, {at, isLeaving, isStrained, lateMs})
+			for (const claim of heartbeat.claims) noteClaim(claim)
+			for (const [failureDomain, room] of validRooms(heartbeat.rooms, isLabelledRoom, onInvalid))
+				if (isPlacedBy(failureDomain, heartbeat.from.session)) rooms.set(failureDomain, {room, at})
 		},
-		applyRoomUpdate({session, rooms: told}) {
+		applyRoomUpdate({session, rooms: reportedRooms}) {
 			const at = clock.now()
-			const last = heard.get(session)
-			heard.set(session, {...(last ?? NEVER_HEARD), at, isUnreached: false})
-			for (const [failureDomain, figures] of validRooms(told, isRoom, onBroken)) {
+			const last = statuses.get(session)
+			statuses.set(session, {...(last ?? NEVER_HEARD), at, isUnreachable: false})
+			for (const [failureDomain, figures] of validRooms(reportedRooms, isRoom, onInvalid)) {
 				if (!isPlacedBy(failureDomain, session)) continue
 				const labels = rooms.get(failureDomain)?.room.labels ?? []
 				rooms.set(failureDomain, {room: {...figures, labels}, at})
@@ -188,21 +188,21 @@
 			return [...members.values()].filter(member => member.failureDomain === failureDomain)
 		},
 		silentMs(session) {
-			const last = heard.get(session)
+			const last = statuses.get(session)
 			return last ? clock.now() - last.at : Infinity
 		},
-		isUnknown: session => !heard.has(session),
+		isUnknown: session => !statuses.has(session),
 		noteHeard(session) {
-			heard.set(session, {at: clock.now(), isLeaving: false})
+			statuses.set(session, {at: clock.now(), isLeaving: false})
 		},
-		noteGone: session => void heard.set(session, NEVER_HEARD),
+		noteGone: session => void statuses.set(session, NEVER_HEARD),
 		noteUnreachable(session) {
-			heard.set(session, {...(heard.get(session) ?? NEVER_HEARD), isUnreached: true})
+			statuses.set(session, {...(statuses.get(session) ?? NEVER_HEARD), isUnreachable: true})
 		},
-		isUnreachable: session => heard.get(session)?.isUnreached ?? false,
-		isStrained: session => heard.get(session)?.isStrained ?? false,
-		lateMs: session => heard.get(session)?.lateMs ?? 0,
-		isLeaving: session => heard.get(session)?.isLeaving ?? false,
+		isUnreachable: session => statuses.get(session)?.isUnreachable ?? false,
+		isStrained: session => statuses.get(session)?.isStrained ?? false,
+		lateMs: session => statuses.get(session)?.lateMs ?? 0,
+		isLeaving: session => statuses.get(session)?.isLeaving ?? false,
 		roomOf: failureDomain => rooms.get(failureDomain),
 	}
 }
--- a/packages/jobs/src/fleet/peers.ts
+++ b/packages/jobs/src/fleet/peers.ts
@@ -87,7 +87,7 @@
 export type TaskReply = TaskEnd | {readonly type: "not placer"}
 
 export interface PeerHandlers {
-	beat(beat: Heartbeat): Heartbeat
+	beat(heartbeat: Heartbeat): Heartbeat
 	runJob(message: JobMessage, caller: Caller): Promise<JobReply>
 	runTask(message: TaskMessage, caller: Caller): Promise<TaskReply>
 	takeOver(message: TakeOverMessage): Promise<TakeOverReply>
@@ -124,7 +124,7 @@
 }
 
 export interface Peers {
-	beat(address: string, beat: Heartbeat, timeoutMs: number): Promise<Heartbeat | undefined>
+	beat(address: string, heartbeat: Heartbeat, timeoutMs: number): Promise<Heartbeat | undefined>
 	/**
 	 * `confirmedAt` is the time as of which the job is wanted here, in milliseconds on the
 	 * monotonic clock; the peer is told repeatedly.
@@ -196,7 +196,8 @@
 	}
 
 	return {
-		beat: (address, beat, timeoutMs) => call<Heartbeat>(address, "beat", beat, timeoutMs).reply,
+		beat: (address, heartbeat, timeoutMs) =>
+			call<Heartbeat>(address, "beat", heartbeat, timeoutMs).reply,
 		runJob: (address, message, timeoutMs, confirmedAt) =>
 			call(address, "runJob", message, timeoutMs, confirmedAt),
 		runTask: (address, message, timeoutMs, confirmedAt) =>
--- a/packages/jobs/src/fleet/rank.ts
+++ b/packages/jobs/src/fleet/rank.ts
@@ -32,9 +32,9 @@
 	return {
 		rankOf,
 		rankForSlice(candidates) {
-			const more = (member: Member) => claimCountOf(member) - claimCountOf(self)
-			const freer = candidates.filter(isStaying).filter(member => more(member) < 0)
-			return freer.length + rankOf(candidates.filter(member => more(member) === 0))
+			const extraClaims = (member: Member) => claimCountOf(member) - claimCountOf(self)
+			const freer = candidates.filter(isStaying).filter(member => extraClaims(member) < 0)
+			return freer.length + rankOf(candidates.filter(member => extraClaims(member) === 0))
 		},
 	}
 }
--- a/packages/jobs/src/fleet/reachability.ts
+++ b/packages/jobs/src/fleet/reachability.ts
@@ -30,7 +30,7 @@
 }
 
 export function createReachabilityProbe(deps: ReachDeps): ReachabilityProbe {
-	const {clock, store, orders, executorPrefix, decodeExecutor, latestExecutors: followed} = deps
+	const {clock, store, orders, executorPrefix, decodeExecutor, latestExecutors} = deps
 	let lastList: Promise<readonly ExecutorRecord[]> | undefined
 	let listedAt = -Infinity
 
@@ -50,7 +50,7 @@
 
 	return {
 		async canReachExecutors(failureDomain) {
-			const records = followed() ?? (await listed())
+			const records = latestExecutors() ?? (await listed())
 			const samples = records
 				.filter(record => record.failureDomain === failureDomain)
 				.slice(0, REACH_SAMPLES)
--- a/packages/jobs/src/fleet/registration.ts
+++ b/packages/jobs/src/fleet/registration.ts
@@ -31,19 +31,19 @@
 	 * The entry's revision as far as known, 0 for none; undefined when it cannot be read, which
 	 * makes the write unconditional.
 	 */
-	let known: number | undefined = 0
+	let knownRevision: number | undefined = 0
 
 	/**
 	 * Writes the entry; a previous process's entry may still be there for the rest of its lease.
 	 */
 	async function write(granted: string): Promise<boolean> {
-		const options = () => ({lease: granted, expect: known})
+		const options = () => ({lease: granted, expect: knownRevision})
 		let put = await store.put(memberKey(self.name), self, options())
 		if (put.type === "conflict") {
-			known = put.current?.revision
+			knownRevision = put.current?.revision
 			put = await store.put(memberKey(self.name), self, options())
 		}
-		if (put.type === "done") known = put.revision
+		if (put.type === "done") knownRevision = put.revision
 		return put.type === "done"
 	}
 
@@ -63,7 +63,7 @@
 		if (answer !== "gone") return
 		log.alarm("fleet", "registration_lost", "fleet: the lease of this instance's entry ended.", {})
 		lease = undefined
-		known = 0
+		knownRevision = 0
 	}
 
 	async function loop() {
--- a/packages/jobs/src/fleet/room-validation.ts
+++ b/packages/jobs/src/fleet/room-validation.ts
@@ -15,13 +15,13 @@
 const isRecord = (value: unknown): value is Readonly<Record<string, unknown>> =>
 	typeof value === "object" && value !== null
 
-const isFigure = (value: unknown) =>
+const isNonNegativeNumber = (value: unknown) =>
 	typeof value === "number" && Number.isFinite(value) && value >= 0
 
 /** Whether a value is a room, labels aside. */
 export function isRoom(value: unknown): value is Figures {
 	if (!isRecord(value) || !Array.isArray(value["freeCpu"])) return false
-	return [value["totalCpu"], value["waitingWork"], ...value["freeCpu"]].every(isFigure)
+	return [value["totalCpu"], value["waitingWork"], ...value["freeCpu"]].every(isNonNegativeNumber)
 }
 
 /** Whether a value is a room with labels. */
@@ -33,17 +33,17 @@
 
 /** The valid rooms, by failure domain; calls `onInvalid` for each invalid one. */
 export function validRooms<T extends Figures>(
-	told: Readonly<Record<string, T>>,
-	isSound: (value: unknown) => boolean,
-	onBroken: (reason: InvalidReport) => void,
+	rooms: Readonly<Record<string, T>>,
+	isValid: (value: unknown) => boolean,
+	onInvalid: (reason: InvalidReport) => void,
 ): readonly (readonly [string, T])[] {
-	if (!isRecord(told)) {
-		onBroken("room")
+	if (!isRecord(rooms)) {
+		onInvalid("room")
 		return []
 	}
-	return Object.entries(told).filter(([, room]) => {
-		if (isSound(room)) return true
-		onBroken("room")
+	return Object.entries(rooms).filter(([, room]) => {
+		if (isValid(room)) return true
+		onInvalid("room")
 		return false
 	})
 }
--- a/packages/jobs/src/fleet/silence-limits.ts
+++ b/packages/jobs/src/fleet/silence-limits.ts
@@ -13,16 +13,16 @@
 /**
  * Three heartbeats; for a placer that a call could not reach either, and that reported no lateness.
  */
-const UNREACHED_SILENT_MS = 600
+const UNREACHABLE_SILENT_MS = 600
 /** A process later than this may not have come round to accepting a connection. */
-const IN_TIME_MS = 50
+const ON_TIME_MS = 50
 /**
  * A late process sends a heartbeat, reads a question and answers it, each in a late turn of its
  * event loop; plus one spare.
  */
 const LATE_TURNS = 4
 /** A placer that stands still for longer is of no use. */
-const LONGEST_PATIENCE_MS = 2_000
+const MAX_ALLOWANCE_MS = 2_000
 
 /** Sources of the lateness of members and of this instance. */
 export interface Lateness {
@@ -33,13 +33,13 @@
 
 /** How much longer than usual a member is waited for because of lateness, in milliseconds. */
 export function latenessAllowanceMs({view, ownLateMs}: Lateness, {session}: Member): number {
-	return Math.min(LONGEST_PATIENCE_MS, LATE_TURNS * (view.lateMs(session) + ownLateMs()))
+	return Math.min(MAX_ALLOWANCE_MS, LATE_TURNS * (view.lateMs(session) + ownLateMs()))
 }
 
 /** How long a placer must be silent before it is replaced, in milliseconds. */
 export function silenceLimitMs(lateness: Lateness, placer: Member): number {
 	const {view} = lateness
-	const wasInTime = view.lateMs(placer.session) <= IN_TIME_MS
-	if (wasInTime && view.isUnreachable(placer.session)) return UNREACHED_SILENT_MS
+	const wasInTime = view.lateMs(placer.session) <= ON_TIME_MS
+	if (wasInTime && view.isUnreachable(placer.session)) return UNREACHABLE_SILENT_MS
 	return PLACER_SILENT_MS + latenessAllowanceMs(lateness, placer)
 }
--- a/packages/jobs/src/fleet/speed-record.ts
+++ b/packages/jobs/src/fleet/speed-record.ts
@@ -12,18 +12,18 @@
 
 /** Speeds are stored as logarithms in steps of a twentieth, finer than a placer's certainty. */
 const STEPS = 20
-const MOST_STEPS = Math.round(Math.log(MAX_SPEED_RATIO) * STEPS)
+const MAX_STEPS = Math.round(Math.log(MAX_SPEED_RATIO) * STEPS)
 /**
  * The weight of a stored speed is limited, so that new runs outweigh it within a second or two of
  * load.
  */
-const MOST_RUNS = 9
+const MAX_RUNS = 9
 /** A speed from fewer runs says less than the label's. */
-const LEAST_RUNS = 2
+const MIN_RUNS = 2
 /** Far more than a domain has; bounds the cost of a foreign record. */
-const MOST_ENTRIES = 2_000
+const MAX_ENTRIES = 2_000
 /** Ids and labels are names, and short. */
-const LONGEST_NAME = 64
+const MAX_NAME_LENGTH = 64
 
 type Entry = readonly [steps: number, runs: number]
 type Entries = Readonly<Record<string, Entry>>
@@ -44,8 +44,8 @@
 function encode(speeds: ReadonlyMap<string, Speed>): Entries {
 	const entries: Record<string, Entry> = {}
 	for (const [name, {mean, weight}] of speeds) {
-		if (weight < LEAST_RUNS || name.length > LONGEST_NAME) continue
-		entries[name] = [Math.round(mean * STEPS), Math.min(MOST_RUNS, Math.round(weight))]
+		if (weight < MIN_RUNS || name.length > MAX_NAME_LENGTH) continue
+		entries[name] = [Math.round(mean * STEPS), Math.min(MAX_RUNS, Math.round(weight))]
 	}
 	return entries
 }
@@ -61,8 +61,8 @@
 	if (!Array.isArray(value) || value.length !== 2) return false
 	const [steps, runs] = value as readonly unknown[]
 	if (!Number.isInteger(steps) || !Number.isInteger(runs)) return false
-	const isPlausible = Math.abs(steps as number) <= MOST_STEPS
-	return isPlausible && (runs as number) >= LEAST_RUNS && (runs as number) <= MOST_RUNS
+	const isPlausible = Math.abs(steps as number) <= MAX_STEPS
+	return isPlausible && (runs as number) >= MIN_RUNS && (runs as number) <= MAX_RUNS
 }
 
 /** The valid entries, and how many are not. */
@@ -70,9 +70,9 @@
 	const speeds = new Map<string, Speed>()
 	if (!isObject(value)) return {speeds, dropped: 1}
 	const names = Object.keys(value)
-	for (const name of names.slice(0, MOST_ENTRIES)) {
+	for (const name of names.slice(0, MAX_ENTRIES)) {
 		const entry = value[name]
-		if (!isEntry(entry) || name.length > LONGEST_NAME) continue
+		if (!isEntry(entry) || name.length > MAX_NAME_LENGTH) continue
 		speeds.set(name, {mean: entry[0] / STEPS, weight: entry[1], outliers: 0})
 	}
 	return {speeds, dropped: names.length - speeds.size}
@@ -96,24 +96,24 @@
  * An executor counts as changed if its speed differs by about a fifth, or was not stored. The
  * record is written when this many executors, or this share if that is more, have changed.
  */
-const NEWS_STEPS = 4
-const NEWS_SHARE = 0.1
-const NEWS_EXECUTORS = 3
+const CHANGED_STEPS = 4
+const CHANGED_SHARE = 0.1
+const CHANGED_EXECUTORS = 3
 /** A single executor whose speed changed this much suffices. */
-const GREAT_STEPS = 12
+const LARGE_CHANGE_STEPS = 12
 
 /** Whether a record differs notably from the last one written. */
-export function isNews(
-	{executors: told}: Pick<SpeedRecord, "executors">,
+export function differsNotably(
+	{executors: lastWritten}: Pick<SpeedRecord, "executors">,
 	next: SpeedRecord,
 ): boolean {
 	let count = 0
 	let size = 0
 	for (const [id, [steps]] of Object.entries(next.executors)) {
-		const by = Math.abs(steps - (told[id]?.[0] ?? 0))
+		const by = Math.abs(steps - (lastWritten[id]?.[0] ?? 0))
 		size++
-		if (by >= GREAT_STEPS) return true
-		if (!told[id] || by >= NEWS_STEPS) count++
+		if (by >= LARGE_CHANGE_STEPS) return true
+		if (!lastWritten[id] || by >= CHANGED_STEPS) count++
 	}
-	return count >= Math.min(Math.max(1, size), Math.max(NEWS_EXECUTORS, size * NEWS_SHARE))
+	return count >= Math.min(Math.max(1, size), Math.max(CHANGED_EXECUTORS, size * CHANGED_SHARE))
 }
--- a/packages/jobs/src/fleet/speed-store.ts
+++ b/packages/jobs/src/fleet/speed-store.ts
@@ -11,16 +11,22 @@
 import type {PlacingSettings} from "../types/placing.js"
 import type {EventLog} from "../utils/log.js"
 import type {JobMetrics} from "../utils/metrics.js"
-import {decodeSpeeds, encodeSpeeds, isNews, speedKey, type SpeedRecord} from "./speed-record.js"
+import {
+	decodeSpeeds,
+	encodeSpeeds,
+	differsNotably,
+	speedKey,
+	type SpeedRecord,
+} from "./speed-record.js"
 
 /** Interval of the checks for changes to write, and thus the least time between two writes. */
 const WRITE_MS = 2_000
 /** Pause after an unanswered read. */
-const READ_AGAIN_MS = 400
+const READ_RETRY_MS = 400
 /** Executors of the record that aren't listed by then are dropped. */
-const MEET_MS = 5_000
+const LISTED_WITHIN_MS = 5_000
 
-export interface SpeedKeepingDeps {
+export interface SpeedStoreDeps {
 	readonly clock: Clock
 	readonly store: Store
 	readonly log: EventLog
@@ -38,19 +44,19 @@
 	open(claim: Claim): SpeedStore
 }
 
-const NOTHING_TOLD: Pick<SpeedRecord, "executors"> = {executors: {}}
+const NOTHING_WRITTEN: Pick<SpeedRecord, "executors"> = {executors: {}}
 
 /** Creates a store for each domain placed here, and gauges over all of them. */
-export function createSpeedStores(deps: SpeedKeepingDeps): SpeedStores {
-	const keepers = new Set<SpeedStore>()
-	const figures = () => [...keepers].map(({speeds}) => speeds.stats())
+export function createSpeedStores(deps: SpeedStoreDeps): SpeedStores {
+	const stores = new Set<SpeedStore>()
+	const figures = () => [...stores].map(({speeds}) => speeds.stats())
 	deps.metrics.gauge("speeds_known", () => figures().reduce((sum, {known}) => sum + known, 0))
 	deps.metrics.gauge("speeds_spread", () => Math.max(1, ...figures().map(({spread}) => spread)))
 	return {
 		open(claim) {
-			const keeper = keepSpeeds(deps, claim, () => keepers.delete(keeper))
-			keepers.add(keeper)
-			return keeper
+			const opened = openSpeedStore(deps, claim, () => stores.delete(opened))
+			stores.add(opened)
+			return opened
 		},
 	}
 }
@@ -58,20 +64,20 @@
 /** The function that opens a domain's store; undefined where the setting is off. */
 export function speedStoreOpenerFor(
 	{speeds}: Pick<PlacingSettings, "speeds">,
-	deps: SpeedKeepingDeps,
+	deps: SpeedStoreDeps,
 ): SpeedStores["open"] | undefined {
 	return speeds === "kept" ? createSpeedStores(deps).open : undefined
 }
 
-function keepSpeeds(
-	{clock, store, log, metrics}: SpeedKeepingDeps,
+function openSpeedStore(
+	{clock, store, log, metrics}: SpeedStoreDeps,
 	{failureDomain, fence}: Claim,
 	onClose: () => void,
 ): SpeedStore {
 	const key = speedKey(failureDomain)
 	const speeds = createPersistentSpeeds(() => clock.now())
 	const beganAt = clock.now()
-	let told = NOTHING_TOLD
+	let lastWritten = NOTHING_WRITTEN
 	let isClosed = false
 
 	async function read() {
@@ -79,9 +85,9 @@
 		for (const from of new Set([key, speedKey(failureDomainOf(failureDomain))])) {
 			const item = await readItem(from)
 			if (isClosed) return
-			if (item) return takeOver(item.value)
+			if (item) return load(item.value)
 		}
-		takeOver(undefined)
+		load(undefined)
 	}
 
 	/** The item under a key; repeats the read until the store answers. */
@@ -89,12 +95,12 @@
 		for (;;) {
 			const item = await store.get(from)
 			if (item !== undefined || isClosed) return item ?? null
-			await clock.sleep(READ_AGAIN_MS)
+			await clock.sleep(READ_RETRY_MS)
 			if (isClosed) return null
 		}
 	}
 
-	function takeOver(value: unknown) {
+	function load(value: unknown) {
 		const {
 			executors,
 			labels,
@@ -108,27 +114,27 @@
 		const detail = from === undefined ? undefined : `by fence ${from}`
 		const fields = {failureDomain, fence, count: executors.size, waitedMs, outcome, detail}
 		log.event("placer", "speeds_taken_over", "placer: loaded the speeds of its executors.", fields)
-		clock.schedule(MEET_MS, dropUnmet)
-		clock.schedule(WRITE_MS, writeNews)
+		clock.schedule(LISTED_WITHIN_MS, dropUnlisted)
+		clock.schedule(WRITE_MS, writeIfChanged)
 	}
 
-	function dropUnmet() {
+	function dropUnlisted() {
 		if (isClosed) return
 		const count = speeds.dropUnseen()
 		if (count > 0) metrics.count("speeds_dropped", "not listed", count)
 	}
 
-	async function writeNews() {
+	async function writeIfChanged() {
 		if (isClosed) return
 		const record = encodeSpeeds(speeds.known(), fence)
-		if (isNews(told, record)) await write(record)
-		if (!isClosed) clock.schedule(WRITE_MS, () => void writeNews())
+		if (differsNotably(lastWritten, record)) await write(record)
+		if (!isClosed) clock.schedule(WRITE_MS, () => void writeIfChanged())
 	}
 
 	async function write(record: SpeedRecord) {
 		const {type} = await store.put(key, record)
 		metrics.count("speed_writes", type)
-		if (type === "done") told = record
+		if (type === "done") lastWritten = record
 	}
 
 	void read()
--- a/packages/jobs/src/link/executor-clock.ts
+++ b/packages/jobs/src/link/executor-clock.ts
@@ -8,7 +8,7 @@
 import {SLOWEST_RATE, type LeaseRule} from "../decide/lease-rule.js"
 
 /** Another placer may use a reading half a second old: 2% drift of that, plus timer delays. */
-const OTHERS_READING_MS = 20
+const OTHER_PLACERS_READING_MS = 20
 
 export interface ExecutorClock {
 	/** Records a reading that has just arrived. */
@@ -39,7 +39,7 @@
 	let reading: {readonly clockMs: number; readonly at: number} | undefined
 	let leaseUntilMs = -Infinity
 	/** On this process's clock: an executor that has not answered has reported no reading. */
-	let presumedUntil = -Infinity
+	let assumedUntil = -Infinity
 
 	function lowest(now: number): number | undefined {
 		return reading && reading.clockMs + (now - reading.at) * SLOWEST_RATE
@@ -47,9 +47,9 @@
 
 	function leasesEndAt(now: number): number {
 		const clockMs = lowest(now)
-		if (clockMs === undefined) return presumedUntil
+		if (clockMs === undefined) return assumedUntil
 		const ownEndAt = now + (leaseUntilMs - clockMs) / SLOWEST_RATE + endMarginMs
-		return Math.max(presumedUntil, ownEndAt)
+		return Math.max(assumedUntil, ownEndAt)
 	}
 
 	return {
@@ -63,7 +63,7 @@
 			leaseUntilMs = Math.max(leaseUntilMs, untilMs)
 		},
 		assumeLeases(lastsMs, now) {
-			presumedUntil = Math.max(presumedUntil, now + lastsMs + OTHERS_READING_MS)
+			assumedUntil = Math.max(assumedUntil, now + lastsMs + OTHER_PLACERS_READING_MS)
 		},
 		leasesEndAt,
 		haveLeasesEnded: now => now > leasesEndAt(now),
--- a/packages/jobs/src/link/executor-link.ts
+++ b/packages/jobs/src/link/executor-link.ts
@@ -4,13 +4,13 @@
 import type {ExecutorRecord} from "../types/executor.js"
 import {adoptRun, holdLoop, offerOrphans} from "./hold.js"
 import {isConfirmed} from "./lease.js"
-import {inheritedRun, startRun, stopRun} from "./orders.js"
+import {adoptedRun, startRun, stopRun} from "./orders.js"
 import {freeCpu, hasRoom, isCompatible, isShared, occupy} from "./room.js"
 import {
 	closeLink,
 	hasOrphanOf,
 	isIdle,
-	isPromising,
+	isUsableSoon,
 	isUsable,
 	newLinkState,
 	releaseRuns,
@@ -87,7 +87,7 @@
 		},
 		isUsable: () => isUsable(link),
 		isFenceTaken: () => link.isFenceTaken,
-		isUsableSoon: () => isPromising(link),
+		isUsableSoon: () => isUsableSoon(link),
 		freeCpu: () => freeCpu(link),
 		hasRoom: req => hasRoom(link, req),
 		isCompatible: req => isCompatible(link, req),
@@ -108,7 +108,7 @@
 		},
 		start: (req, onEnd) => startRun(link, req, onEnd),
 		adopt(req, isStarted, onEnd) {
-			const run = inheritedRun(link, req, onEnd)
+			const run = adoptedRun(link, req, onEnd)
 			adoptRun(link, run, isStarted)
 			return run
 		},
--- a/packages/jobs/src/link/hold.ts
+++ b/packages/jobs/src/link/hold.ts
@@ -7,18 +7,18 @@
  */
 import type {HoldReply, RunEnd, RunningTask} from "../types/executor.js"
 import {shortSession} from "../utils/log.js"
-import {needsLease, nextLeaseUntil} from "./lease.js"
-import {stopOrphan, stopRun, stopUnanswered, stopUnheard} from "./orders.js"
+import {shouldRenewLease, nextLeaseUntil} from "./lease.js"
+import {stopOrphan, stopRun, stopSettledUnanswered, stopUnheard} from "./orders.js"
 import {
 	addRun,
 	closeLink,
 	forgettableSerial,
 	forgetUnwatched,
-	hasLapsedSilent,
+	isSilentPastLease,
 	isIdle,
 	isOwnReply,
-	isWaitedFor,
-	lostOrStopped,
+	mayOrphansBeClaimed,
+	endWithoutResult,
 	noteAnswering,
 	noteSilence,
 	runName,
@@ -41,7 +41,7 @@
  * The same while orphans may be handed over. Nobody renews their lease until then, and two holds
  * lost afterwards must not end it.
  */
-const UNKNOWN_WAIT_MS = 60
+const ORPHANS_WAIT_MS = 60
 /** Time-out of a hold beyond its wait: some fifty round trips. */
 const HOLD_SLACK_MS = 110
 /** Between tries to reach a silent executor; a fraction of the lease. */
@@ -52,10 +52,10 @@
  * within a tenth of that share.
  */
 const STUCK_MS = 250
-const STUCK_ESTIMATES = 0.6
+const STUCK_ESTIMATE_SHARE = 0.6
 
 /** Between two holds while ends wait to be recorded in the store. */
-const NOTE_PAUSE_MS = 20
+const RECORD_PAUSE_MS = 20
 
 type Held = Extract<HoldReply, {type: "held"}>
 
@@ -63,11 +63,11 @@
 export async function holdLoop(link: LinkState) {
 	const {clock} = link.deps
 	while (!link.isClosed) {
-		if (wantsSpareHold(link) && !link.hasSpareHold) void spareHoldLoop(link)
+		if (needsSecondHold(link) && !link.hasSecondHold) void secondHoldLoop(link)
 		const isSilent = link.silentSince !== undefined
 		await holdOnce(link, link.isFenceTaken && !isSilent ? waitMsOf(link) : 0)
 		// Unrecorded ends are listed again at once, without a wait.
-		if (link.unnoted.size > 0) await clock.sleep(NOTE_PAUSE_MS)
+		if (link.unrecordedEnds.size > 0) await clock.sleep(RECORD_PAUSE_MS)
 	}
 }
 
@@ -75,17 +75,17 @@
  * Sends a second hold beside the first, half a wait later, while orders get lost: each reports the
  * ends that the other one loses.
  */
-async function spareHoldLoop(link: LinkState) {
-	link.hasSpareHold = true
+async function secondHoldLoop(link: LinkState) {
+	link.hasSecondHold = true
 	await link.deps.clock.sleep(waitMsOf(link) / 2)
-	while (wantsSpareHold(link)) await holdOnce(link, waitMsOf(link))
-	link.hasSpareHold = false
+	while (needsSecondHold(link)) await holdOnce(link, waitMsOf(link))
+	link.hasSecondHold = false
 }
 
 /** Whether runs are being waited for and orders get lost, so that one hold may not suffice. */
-function wantsSpareHold(link: LinkState): boolean {
+function needsSecondHold(link: LinkState): boolean {
 	if (link.isClosed || !link.isFenceTaken || link.silentSince !== undefined) return false
-	const isBusy = link.runs.size > 0 && link.orphans.size === 0 && link.unnoted.size === 0
+	const isBusy = link.runs.size > 0 && link.orphans.size === 0 && link.unrecordedEnds.size === 0
 	return isBusy && link.deps.losses.isLossy()
 }
 
@@ -96,13 +96,13 @@
 	// A silent executor may still receive orders. They must not renew its lease, or its runs could
 	// never be known to have ended.
 	const isSilent = link.silentSince !== undefined
-	const leaseUntilMs = isSilent || !needsLease(link) ? undefined : nextLeaseUntil(link)
+	const leaseUntilMs = isSilent || !shouldRenewLease(link) ? undefined : nextLeaseUntil(link)
 	const seenSerial = forgettableSerial(link)
 	const order = {fence, seenSerial, leaseUntilMs, waitMs}
 	const reply = await orders.hold(link.record, order, waitMs + holdSlackMs(link))
-	if (isOwnReply(link, reply, "hold")) noteHeld(link, reply, {sentAt, seenSerial})
+	if (isOwnReply(link, reply, "hold")) noteHoldReply(link, reply, {sentAt, seenSerial})
 	// Another order was answered since: only this hold was lost.
-	else if (!link.isClosed && link.answeredAt < sentAt) await noteUnheld(link, reply)
+	else if (!link.isClosed && link.answeredAt < sentAt) await noteHoldFailed(link, reply)
 }
 
 function holdSlackMs({deps}: LinkState): number {
@@ -110,41 +110,41 @@
 }
 
 function waitMsOf({deps, runs, orphans}: LinkState): number {
-	if (orphans.size > 0) return UNKNOWN_WAIT_MS
+	if (orphans.size > 0) return ORPHANS_WAIT_MS
 	if (runs.size > 0 && deps.losses.isLossy()) return LOSSY_WAIT_MS
 	return runs.size > 0 ? BUSY_WAIT_MS : IDLE_WAIT_MS
 }
 
-async function noteUnheld(link: LinkState, reply: HoldReply) {
+async function noteHoldFailed(link: LinkState, reply: HoldReply) {
 	const {clock} = link.deps
 	noteSilence(link, reply.type === "silent" ? reply.cause : reply.type)
-	if (hasLapsedSilent(link)) {
+	if (isSilentPastLease(link)) {
 		settleAllLost(link, "its lease ended while silent", "lease over")
 		link.orphans = new Set()
 		// Nobody reports the ends it listed before; the store has those that matter, or the next
 		// list names them.
-		if (link.isRetired && !isWaitedFor(link)) forgetUnwatched(link)
+		if (link.isRetired && !mayOrphansBeClaimed(link)) forgetUnwatched(link)
 	}
 	if (link.isRetired && isIdle(link)) return closeLink(link)
 	await clock.sleep(SILENT_RETRY_MS)
 }
 
 /** State at the time a hold was sent. */
-interface Asked {
+interface HoldContext {
 	readonly sentAt: number
 	readonly seenSerial: number
 }
 
-function noteHeld(link: LinkState, reply: Held, {sentAt, seenSerial}: Asked) {
+function noteHoldReply(link: LinkState, reply: Held, {sentAt, seenSerial}: HoldContext) {
 	const now = link.deps.clock.now()
 	link.executorClock.observe(reply.clockMs, now)
 	noteAnswering(link)
-	stopUnanswered(link)
+	stopSettledUnanswered(link)
 	// Of two concurrent holds the later answer may be the older one, listing a run as running whose
 	// end the other reported.
-	const toldSerial = Math.max(seenSerial, ...reply.ends.map(({serial}) => serial))
+	const reportedSerial = Math.max(seenSerial, ...reply.ends.map(({serial}) => serial))
 	// Unrecorded ends are listed again, spread over answers, so a lower serial then proves nothing.
-	const isOvertaken = link.unnoted.size === 0 && toldSerial < link.seenSerial
+	const isOvertaken = link.unrecordedEnds.size === 0 && reportedSerial < link.seenSerial
 	for (const end of reply.ends) noteEnd(link, end)
 	if (isOvertaken) return
 	const listed = new Set<string>()
@@ -157,7 +157,7 @@
 		} else if (!run && link.deps.kept.adopt(link.record.id, row.task, row.run)) listed.add(row.task)
 		else unknown.add(noteOrphan(link, row))
 	}
-	claimStrayEnds(link)
+	offerUnclaimedEnds(link)
 	const hadOrphans = link.orphans.size > 0
 	link.orphans = unknown
 	settleUnlisted(link, listed, sentAt)
@@ -167,7 +167,7 @@
 
 function noteOrphan(link: LinkState, row: RunningTask): string {
 	const name = runName(row.task, row.run)
-	if (!isWaitedFor(link)) void stopOrphan(link, row.task, row.run)
+	if (!mayOrphansBeClaimed(link)) void stopOrphan(link, row.task, row.run)
 	return name
 }
 
@@ -175,7 +175,7 @@
 	for (const run of [...link.runs.values()]) {
 		if (run.listedFrom === undefined || run.listedFrom > sentAt) continue
 		if (listed.has(run.req.task)) continue
-		void settleRun(link, run, lostOrStopped(link, run, "not there"), "not in a list")
+		void settleRun(link, run, endWithoutResult(link, run, "not there"), "not in a list")
 	}
 }
 
@@ -195,13 +195,13 @@
 	const run = link.runs.get(end.task)
 	if (link.stoppingOrphans.delete(runName(end.task, end.run))) noteOrphanEnd(link, end)
 	if (run?.req.run === end.run) return settleListed(link, run, end)
-	link.unnoted.add(end.serial)
-	link.strayEnds.set(runName(end.task, end.run), end)
+	link.unrecordedEnds.add(end.serial)
+	link.unclaimedEnds.set(runName(end.task, end.run), end)
 }
 
 function settleListed(link: LinkState, run: Run, end: RunEnd) {
-	const noted = settleRun(link, run, endOf(link, run, end), "listed end")
-	forgetWhenNoted(link, end.serial, noted)
+	const recorded = settleRun(link, run, endOf(link, run, end), "listed end")
+	forgetWhenRecorded(link, end.serial, recorded)
 }
 
 function noteOrphanEnd({deps, record}: LinkState, {task, run, how}: RunEnd) {
@@ -212,7 +212,7 @@
 
 /** Offers orphans and unclaimed ends to the kept jobs, once those are known. */
 export function offerOrphans(link: LinkState) {
-	claimStrayEnds(link)
+	offerUnclaimedEnds(link)
 	for (const name of link.orphans) {
 		const [task = "", run] = name.split("/")
 		link.deps.kept.adopt(link.record.id, task, Number(run))
@@ -220,25 +220,25 @@
 }
 
 /** Lets the executor forget an end once the store has recorded it. */
-function forgetWhenNoted({unnoted}: LinkState, serial: number, noted: EndRecorded) {
-	if (!noted) return void unnoted.delete(serial)
-	unnoted.add(serial)
-	void noted.then(() => unnoted.delete(serial))
+function forgetWhenRecorded({unrecordedEnds}: LinkState, serial: number, recorded: EndRecorded) {
+	if (!recorded) return void unrecordedEnds.delete(serial)
+	unrecordedEnds.add(serial)
+	void recorded.then(() => unrecordedEnds.delete(serial))
 }
 
 /** Hands unclaimed ends to the kept jobs, as soon as those are known. */
-function claimStrayEnds(link: LinkState) {
+function offerUnclaimedEnds(link: LinkState) {
 	const {kept, clock, orphansWaitUntil} = link.deps
 	if (kept.isRestoring()) return
-	for (const [name, end] of link.strayEnds) {
+	for (const [name, end] of link.unclaimedEnds) {
 		// The previous placer may still hand over the run.
 		if (!kept.knows(end.task) && clock.now() < orphansWaitUntil) continue
-		link.strayEnds.delete(name)
-		const stray: TaskEnd =
+		link.unclaimedEnds.delete(name)
+		const taskEnd: TaskEnd =
 			end.how === "done" || end.how === "failed"
 				? {type: end.how, executor: link.record.id, cause: "ended unwatched"}
 				: {type: "lost", executor: link.record.id, cause: end.how}
-		forgetWhenNoted(link, end.serial, kept.noteUnclaimedEnd(end.task, stray))
+		forgetWhenRecorded(link, end.serial, kept.noteUnclaimedEnd(end.task, taskEnd))
 	}
 }
 
@@ -252,8 +252,8 @@
 	link.executorClock.assumeLeases(leaseRule.longestEndMs, clock.now())
 	addRun(link, run)
 	const name = runName(run.req.task, run.req.run)
-	const end = link.strayEnds.get(name)
-	link.strayEnds.delete(name)
+	const end = link.unclaimedEnds.get(name)
+	link.unclaimedEnds.delete(name)
 	if (end) {
 		noteAdopted(link, run, `ended: ${end.how}`)
 		return settleListed(link, run, end)
@@ -293,7 +293,7 @@
 	const executor = link.record.id
 	if (how === "done") return {type: "done", executor}
 	if (how === "failed") return {type: "failed", executor, cause: "failed"}
-	return lostOrStopped(link, run, how)
+	return endWithoutResult(link, run, how)
 }
 
 function noteProgress(link: LinkState, run: Run, percent: number, now: number) {
@@ -307,7 +307,7 @@
 	}
 	if (run.state !== "running" || run.req.isLasting || run.req.gang) return
 	const expectedMs = run.req.estimateMs * link.deps.slownessOf(link.record.id)
-	const limitMs = Math.max(STUCK_MS, expectedMs * STUCK_ESTIMATES)
+	const limitMs = Math.max(STUCK_MS, expectedMs * STUCK_ESTIMATE_SHARE)
 	if (now - run.progressAt < limitMs) return
 	const {job, task, run: number, estimateMs} = run.req
 	const inputAgeMs = Math.round(now - run.progressAt)
--- a/packages/jobs/src/link/lease.ts
+++ b/packages/jobs/src/link/lease.ts
@@ -13,12 +13,8 @@
 	const {clock, leaseRule} = link.deps
 	const now = clock.now()
 	const leasesEndAt = link.executorClock.leasesEndAt(now)
-	const besideAt = oldestConfirmation(link)
-	return mayStart(
-		leaseRule,
-		{confirmedAt: confirmedAt(), neighboursConfirmedAt: besideAt, leasesEndAt},
-		now,
-	)
+	const neighboursConfirmedAt = oldestConfirmation(link)
+	return mayStart(leaseRule, {confirmedAt: confirmedAt(), neighboursConfirmedAt, leasesEndAt}, now)
 }
 
 /** The oldest time as of which every run there is confirmed by its caller. */
@@ -49,7 +45,7 @@
  * placer or a kept job may still claim, or while a stop is unanswered, even though other runs there
  * may then end. Without a run to keep, no lease is needed: a start requests its own.
  */
-export function needsLease({runs, orphans, unansweredStops}: LinkState): boolean {
+export function shouldRenewLease({runs, orphans, unansweredStops}: LinkState): boolean {
 	if (unansweredStops.size + orphans.size > 0) return false
 	return [...runs.values()].some(({state}) => state !== "stopping")
 }
--- a/packages/jobs/src/link/loss-detector.ts
+++ b/packages/jobs/src/link/loss-detector.ts
@@ -12,19 +12,19 @@
 /**
  * This many losses within the window count as lossy; a single one may be a pause of either process.
  */
-const LOSSES = 3
-const LOSSES_WITHIN_MS = 1_000
+const LOSS_COUNT = 3
+const LOSS_WINDOW_MS = 1_000
 /**
  * Time-outs this close together count as one loss: a pause of this process makes all due ones fire
  * at once.
  */
-const ONE_MOMENT_MS = 20
+const SAME_LOSS_MS = 20
 /** The time-out is this multiple of the slowest recent answer. */
-const MISSED_FACTOR = 3
+const TIMEOUT_FACTOR = 3
 /** The share by which each faster answer lowers the slowest one. */
-const FORGET_SHARE = 0.02
+const DECAY_SHARE = 0.02
 /** Allows for garbage collection on both sides. */
-const LEAST_TIMEOUT_MS = 25
+const MIN_TIMEOUT_MS = 25
 
 export interface LossDetector {
 	/** Records that an order got no answer, at an executor that was not silent before. */
@@ -48,16 +48,16 @@
 	return {
 		noteLost() {
 			const now = clock.now()
-			if (now - (lostAt.at(-1) ?? -Infinity) < ONE_MOMENT_MS) return
-			lostAt = [...lostAt, now].slice(-LOSSES)
+			if (now - (lostAt.at(-1) ?? -Infinity) < SAME_LOSS_MS) return
+			lostAt = [...lostAt, now].slice(-LOSS_COUNT)
 			const [first = now] = lostAt
-			if (lostAt.length === LOSSES && now - first <= LOSSES_WITHIN_MS) lossyAt = now
+			if (lostAt.length === LOSS_COUNT && now - first <= LOSS_WINDOW_MS) lossyAt = now
 		},
 		noteAnswer(tookMs) {
-			slowestMs = Math.max(tookMs, slowestMs + FORGET_SHARE * (tookMs - slowestMs))
+			slowestMs = Math.max(tookMs, slowestMs + DECAY_SHARE * (tookMs - slowestMs))
 		},
 		isLossy: () => clock.now() - lossyAt < LOSSY_MS,
 		timeoutMs: longestMs =>
-			Math.min(longestMs, Math.max(LEAST_TIMEOUT_MS, slowestMs * MISSED_FACTOR)),
+			Math.min(longestMs, Math.max(MIN_TIMEOUT_MS, slowestMs * TIMEOUT_FACTOR)),
 	}
 }
--- a/packages/jobs/src/link/orders.ts
+++ b/packages/jobs/src/link/orders.ts
@@ -11,7 +11,7 @@
 	addRun,
 	isCurrent,
 	isOwnReply,
-	hasLapsedSilent,
+	isSilentPastLease,
 	noteSilence,
 	runName,
 	settleRun,
@@ -32,7 +32,7 @@
  * No start is sent later than this after the task was placed, as the task may run elsewhere by
  * then; the tries take up to 360 ms.
  */
-const LATEST_START_MS = 400
+const START_WINDOW_MS = 400
 /** How often a start checks whether earlier stops are answered. */
 const STOPS_POLL_MS = 10
 const STOP_TIMEOUT_MS = 150
@@ -72,7 +72,7 @@
  * Creates a run that the previous placer started on this executor. It is not started again: under
  * the new fence it either runs already or never will.
  */
-export function inheritedRun(link: LinkState, req: TaskRequest, onEnd: OnTaskEnd): Run {
+export function adoptedRun(link: LinkState, req: TaskRequest, onEnd: OnTaskEnd): Run {
 	const run = newRun(link, req, onEnd)
 	run.state = "running"
 	run.mayHaveStarted = true
@@ -117,8 +117,8 @@
  * Stops runs that were settled while a start or stop was unanswered: the executor may carry the
  * start out late, and an answered stop makes it refuse the start.
  */
-export function stopUnanswered(link: LinkState) {
-	for (const {task, run} of link.unanswered.splice(0)) void stopOrphan(link, task, run)
+export function stopSettledUnanswered(link: LinkState) {
+	for (const {task, run} of link.settledUnanswered.splice(0)) void stopOrphan(link, task, run)
 }
 
 /**
@@ -133,12 +133,12 @@
 	const fields = {task, run, executor: link.record.id, fence, job: task.split(".")[0]}
 	log.alarm("executor", "orphan_stopped", "executor: stops an orphaned run.", fields)
 	metrics.count("orphan_runs", "stopped")
-	const isAnswered = await sendOrphanStop(link, task, run)
+	const isAnswered = await sendOrphanStops(link, task, run)
 	link.unansweredStops.delete(name)
 	if (!isAnswered && link.stoppingOrphans.delete(name))
-		return void link.unanswered.push({task, run})
-	link.stoppingUntil = clock.now() + stopTakesMs(link)
-	clock.schedule(stopTakesMs(link), () => {
+		return void link.settledUnanswered.push({task, run})
+	link.stoppingUntil = clock.now() + stopDurationMs(link)
+	clock.schedule(stopDurationMs(link), () => {
 		// A run that is still listed is stopped once more.
 		link.stoppingOrphans.delete(name)
 		onRoom()
@@ -149,18 +149,18 @@
  * Repeats the stop; true once it is answered, false when the executor's lease has ended, the link
  * was closed, or the end was listed.
  */
-async function sendOrphanStop(link: LinkState, task: string, run: number): Promise<boolean> {
+async function sendOrphanStops(link: LinkState, task: string, run: number): Promise<boolean> {
 	const {clock} = link.deps
 	while (!link.isClosed && link.stoppingOrphans.has(runName(task, run))) {
-		link.stoppingUntil = clock.now() + STOP_TIMEOUT_MS + stopTakesMs(link)
-		if (await isStopAnswered(link, task, run)) return true
-		if (hasLapsedSilent(link)) return false
+		link.stoppingUntil = clock.now() + STOP_TIMEOUT_MS + stopDurationMs(link)
+		if (await tryStop(link, task, run)) return true
+		if (isSilentPastLease(link)) return false
 		await clock.sleep(STOP_RETRY_MS)
 	}
 	return false
 }
 
-async function isStopAnswered(link: LinkState, task: string, run: number): Promise<boolean> {
+async function tryStop(link: LinkState, task: string, run: number): Promise<boolean> {
 	const {orders, fence} = link.deps
 	const name = runName(task, run)
 	const reply = await orders.stop(link.record, {task, run, fence}, STOP_TIMEOUT_MS)
@@ -175,7 +175,7 @@
 	const {task, run: number, spec} = run.req
 	const ticket = run.req.advice && link.deps.tickets.ticketOf(stepNameOf(task), link.record.id)
 	for (let tries = 0; tries < START_TRIES; tries++) {
-		if (!(await mayStartNow(link, run))) break
+		if (!(await waitForStops(link, run))) break
 		if (link.deps.isEvacuated()) return stopEvacuated(link, run)
 		// The start may have waited; a lease that can't be renewed isn't worth it.
 		if (tries === 0 && !isConfirmed(link, run.req))
@@ -225,9 +225,9 @@
  * Waits until no stop is unanswered, since nothing may start beside one; false once the start is
  * too late or no longer wanted.
  */
-async function mayStartNow(link: LinkState, run: Run): Promise<boolean> {
+async function waitForStops(link: LinkState, run: Run): Promise<boolean> {
 	const {clock} = link.deps
-	const isInTime = () => clock.now() - run.startedAt <= LATEST_START_MS
+	const isInTime = () => clock.now() - run.startedAt <= START_WINDOW_MS
 	while (isStarting(link, run) && isInTime() && link.unansweredStops.size > 0)
 		await clock.sleep(STOPS_POLL_MS)
 	return isStarting(link, run) && isInTime()
@@ -253,18 +253,18 @@
 	if (reply.type === "started") {
 		run.progressAt = now
 		run.lastSeenAt = now
-		return noteThere(run, now)
+		return noteStarted(run, now)
 	}
 	noteRefusedStart(link, run, reply.cause)
 	// An earlier try was carried out: the run is there, or its end will be listed.
-	if (wasRepeated && reply.cause === "old") return noteThere(run, now)
+	if (wasRepeated && reply.cause === "old") return noteStarted(run, now)
 	// An earlier try had no answer and may still be carried out; an answered stop prevents it.
 	if (wasRepeated) return stopRun(link, run, "uncertain")
 	settleRefused(link, run, reply.cause)
 }
 
 /** Marks a run as started; from now on the executor's lists tell whether it is gone. */
-function noteThere(run: Run, now: number) {
+function noteStarted(run: Run, now: number) {
 	// Keeps the later time of an answered stop, which takes time whatever answer follows.
 	run.listedFrom = Math.max(run.listedFrom ?? now, now)
 	run.hasUnansweredStart = false
@@ -298,14 +298,14 @@
 }
 
 /** How long a run that is being stopped may use capacity without being listed, in milliseconds. */
-const stopTakesMs = (link: LinkState) => link.deps.stopGraceMs + STOP_MARGIN_MS
+const stopDurationMs = (link: LinkState) => link.deps.stopGraceMs + STOP_MARGIN_MS
 
 async function sendStop(link: LinkState, run: Run) {
 	const {clock} = link.deps
 	const {task, run: number} = run.req
 	while (!link.isClosed && isCurrent(link, run)) {
-		if (await isStopAnswered(link, task, number)) {
-			run.listedFrom = clock.now() + stopTakesMs(link)
+		if (await tryStop(link, task, number)) {
+			run.listedFrom = clock.now() + stopDurationMs(link)
 			return
 		}
 		await clock.sleep(STOP_RETRY_MS)
--- a/packages/jobs/src/link/room.ts
+++ b/packages/jobs/src/link/room.ts
@@ -25,7 +25,7 @@
 }
 
 /** Whether a run there must have the executor to itself, since it may crash it. */
-function hasLoner({runs}: LinkRoom): boolean {
+function hasIsolatedRun({runs}: LinkRoom): boolean {
 	for (const {req} of runs.values()) if (req.isolation === "required") return true
 	return false
 }
@@ -49,7 +49,7 @@
 	{isFilling, isServing, isolation}: TaskRequest,
 ): boolean {
 	const {runs} = link
-	if (hasLoner(link) || (isolation === "required" && runs.size > 0)) return false
+	if (hasIsolatedRun(link) || (isolation === "required" && runs.size > 0)) return false
 	if (!isFilling && !isServing) return true
 	for (const {req} of runs.values())
 		if ((isFilling && req.isServing) || (isServing && req.isFilling)) return false
--- a/packages/jobs/src/link/state.ts
+++ b/packages/jobs/src/link/state.ts
@@ -21,7 +21,7 @@
 import type {Tickets} from "../place/tickets.js"
 
 /** A lost answer or a slow machine recovers within this time; a dead executor does not. */
-const PROMISING_MS = 500
+const SHORT_SILENCE_MS = 500
 
 /** How a link hands runs and ends that nobody here started to the kept jobs. */
 export interface KeptRuns {
@@ -85,14 +85,14 @@
 	/** Runs being stopped, by run name, whose last stop order got no answer. */
 	readonly unansweredStops: Set<string>
 	/** Ends of runs that nobody here started, by run name, until somebody claims them. */
-	readonly strayEnds: Map<string, RunEnd>
+	readonly unclaimedEnds: Map<string, RunEnd>
 	/** Runs that were settled although a start or stop of theirs was never answered. */
-	readonly unanswered: {readonly task: string; readonly run: number}[]
+	readonly settledUnanswered: {readonly task: string; readonly run: number}[]
 	readonly used: {cpu: number; memoryMb: number; accelerators: number}
 	/** Ends up to this serial are processed here. */
 	seenSerial: number
 	/** Serials of ends that the executor must keep listing until the store has them. */
-	readonly unnoted: Set<number>
+	readonly unrecordedEnds: Set<number>
 	isFenceTaken: boolean
 	isRetired: boolean
 	isClosed: boolean
@@ -104,7 +104,7 @@
 	/** When an order was last answered. */
 	answeredAt: number
 	/** Whether a second, concurrent hold is under way. */
-	hasSpareHold: boolean
+	hasSecondHold: boolean
 	unhealthyUntil: number
 	/** Until then a stopped orphan may still use capacity without being listed. */
 	stoppingUntil: number
@@ -119,13 +119,13 @@
 		executorClock,
 		runs: new Map(),
 		orphans: new Set(),
-		unanswered: [],
+		settledUnanswered: [],
 		stoppingOrphans: new Set(),
 		unansweredStops: new Set(),
-		strayEnds: new Map(),
+		unclaimedEnds: new Map(),
 		used: {cpu: 0, memoryMb: 0, accelerators: 0},
 		seenSerial: 0,
-		unnoted: new Set(),
+		unrecordedEnds: new Set(),
 		isFenceTaken: false,
 		isRetired: false,
 		isClosed: false,
@@ -133,7 +133,7 @@
 		silentSince: undefined,
 		wasRefused: false,
 		answeredAt: -Infinity,
-		hasSpareHold: false,
+		hasSecondHold: false,
 		unhealthyUntil: -Infinity,
 		stoppingUntil: -Infinity,
 	}
@@ -145,14 +145,14 @@
 	if (link.silentSince !== undefined || link.orphans.size > 0) return false
 	// A start would renew the lease of runs whose stop is not confirmed.
 	if (link.unansweredStops.size > 0 || link.deps.isEvacuated()) return false
-	return hasNoPause(link)
+	return isNotPaused(link)
 }
 
 /**
  * Whether no stopped orphan may still use capacity unlisted, and the executor has not just reported
  * that it is unhealthy.
  */
-function hasNoPause({stoppingUntil, unhealthyUntil, deps}: LinkState): boolean {
+function isNotPaused({stoppingUntil, unhealthyUntil, deps}: LinkState): boolean {
 	// Most executors were never paused; skip reading the clock, which is the costliest check here.
 	const until = Math.max(stoppingUntil, unhealthyUntil)
 	return until === -Infinity || deps.clock.now() >= until
@@ -162,15 +162,15 @@
  * Whether the executor is likely to become usable within a moment. A newly added one is, until its
  * first hold is answered or missed.
  */
-export function isPromising(link: LinkState): boolean {
+export function isUsableSoon(link: LinkState): boolean {
 	const {silentSince, deps, record} = link
 	if (link.isRetired || link.isClosed || record.isLeaving || deps.isEvacuated()) return false
 	if (!link.isFenceTaken) return silentSince === undefined
-	return silentSince === undefined || deps.clock.now() - silentSince < PROMISING_MS
+	return silentSince === undefined || deps.clock.now() - silentSince < SHORT_SILENCE_MS
 }
 
 /** Whether orphans may still be claimed, by a handover or by a kept job. */
-export function isWaitedFor({deps}: LinkState): boolean {
+export function mayOrphansBeClaimed({deps}: LinkState): boolean {
 	return deps.clock.now() < deps.orphansWaitUntil || deps.kept.isRestoring()
 }
 
@@ -179,14 +179,15 @@
  * may be claimed.
  */
 export function isIdle(link: LinkState): boolean {
-	const {runs, unnoted, orphans} = link
+	const {runs, unrecordedEnds, orphans} = link
 	if (link.isReplaced) return true
-	if (runs.size > 0 || unnoted.size > 0 || (orphans.size > 0 && isWaitedFor(link))) return false
-	return link.isFenceTaken || hasLapsedSilent(link)
+	if (runs.size > 0 || unrecordedEnds.size > 0 || (orphans.size > 0 && mayOrphansBeClaimed(link)))
+		return false
+	return link.isFenceTaken || isSilentPastLease(link)
 }
 
 /** Whether the executor is silent and everything that ran there has certainly ended. */
-export function hasLapsedSilent({silentSince, executorClock, deps}: LinkState): boolean {
+export function isSilentPastLease({silentSince, executorClock, deps}: LinkState): boolean {
 	return silentSince !== undefined && executorClock.haveLeasesEnded(deps.clock.now())
 }
 
@@ -233,18 +234,18 @@
 	occupy(link, run.req, -1)
 	link.deps.metrics.count("task_ends", end.type)
 	link.deps.onRunEnd(link.record.id, run, end, proof)
-	const noted = run.onEnd(end)
+	const recorded = run.onEnd(end)
 	link.deps.onRoom()
-	return noted
+	return recorded
 }
 
 /** The highest serial up to which the executor may forget its ends. */
-export function forgettableSerial({seenSerial, unnoted}: LinkState): number {
-	return unnoted.size === 0 ? seenSerial : Math.min(...unnoted) - 1
+export function forgettableSerial({seenSerial, unrecordedEnds}: LinkState): number {
+	return unrecordedEnds.size === 0 ? seenSerial : Math.min(...unrecordedEnds) - 1
 }
 
 /** The end of a run that has no result, by why it was being stopped. */
-export function lostOrStopped(link: LinkState, run: Run, cause: string): TaskEnd {
+export function endWithoutResult(link: LinkState, run: Run, cause: string): TaskEnd {
 	const executor = link.record.id
 	switch (run.stopCause) {
 		case "cancelled":
@@ -262,8 +263,8 @@
 	const crash = crashOf(link)
 	for (const run of [...link.runs.values()]) {
 		const {task, run: number} = run.req
-		if (run.hasUnansweredStart) link.unanswered.push({task, run: number})
-		const end = lostOrStopped(link, run, cause)
+		if (run.hasUnansweredStart) link.settledUnanswered.push({task, run: number})
+		const end = endWithoutResult(link, run, cause)
 		const isCrash = end.type === "lost" && run.mayHaveStarted && crash !== undefined
 		settleRun(link, run, isCrash ? {...end, crash} : end, proof)
 	}
@@ -275,7 +276,7 @@
 function crashOf({record, isReplaced, wasRefused, runs, orphans}: LinkState): Crash | undefined {
 	if (record.isLeaving) return undefined
 	if (!isReplaced && !wasRefused) return "possible"
-	const begun = [...runs.values()].filter(({mayHaveStarted: mayHaveBegun}) => mayHaveBegun).length
+	const begun = [...runs.values()].filter(({mayHaveStarted}) => mayHaveStarted).length
 	return begun + orphans.size > 1 ? "beside others" : "alone"
 }
 
@@ -310,8 +311,8 @@
 export function forgetUnwatched(link: LinkState) {
 	link.orphans = new Set()
 	link.stoppingOrphans.clear()
-	link.strayEnds.clear()
-	link.unnoted.clear()
+	link.unclaimedEnds.clear()
+	link.unrecordedEnds.clear()
 }
 
 function noteFenced(link: LinkState, order: string) {
