--- a/packages/jobs/src/fleet/peers.ts
+++ b/packages/jobs/src/fleet/peers.ts
@@ -178,11 +178,11 @@
 		const sent = clientOf(address).call(method, message, timeoutMs, confirmedAt)
 		let isUnsent = false
 		let isRefused = false
-		let wantedAt = Infinity
+		let lastConfirmedAt = Infinity
 		const reply = sent.reply.then(answer => {
 			isUnsent = answer.type === "no answer" && !answer.wasSent
 			isRefused = answer.type === "no answer" && answer.wasRefused
-			if (answer.type === "no answer") wantedAt = answer.lastConfirmedAt
+			if (answer.type === "no answer") lastConfirmedAt = answer.lastConfirmedAt
 			metrics.count("peer_calls", `${method}_${answer.type === "answer" ? "ok" : "silent"}`)
 			return answer.type === "answer" ? (answer.value as T) : undefined
 		})
@@ -190,7 +190,7 @@
 			reply,
 			wasUnsent: () => isUnsent,
 			wasRefused: () => isRefused,
-			lastConfirmedAt: () => wantedAt,
+			lastConfirmedAt: () => lastConfirmedAt,
 			cancel: sent.cancel,
 		}
 	}
--- a/packages/jobs/test/beats.test.ts
+++ b/packages/jobs/test/beats.test.ts
@@ -31,12 +31,12 @@
 	}
 	const sent: FleetDatagram[] = []
 	let freeCpu: number[] = []
-	let workedOut = 0
+	let computedRooms = 0
 	function rooms() {
-		workedOut++
+		computedRooms++
 		return {a: {freeCpu, totalCpu: 64_000, waitingWork: 0, labels: []}}
 	}
-	const beats = createHeartbeats({
+	const heartbeats = createHeartbeats({
 		clock,
 		view,
 		self,
@@ -57,18 +57,18 @@
 	})
 	return {
 		clock,
-		beats,
+		heartbeats,
 		self,
 		other,
 		/** Room updates sent between heartbeats. */
-		told: () => sent.filter((one): one is RoomDatagram => one.type === "room"),
-		beatsSent: () => sent.filter((one): one is HeartbeatDatagram => one.type === "beat"),
+		roomUpdates: () => sent.filter((one): one is RoomDatagram => one.type === "room"),
+		heartbeatsSent: () => sent.filter((one): one is HeartbeatDatagram => one.type === "beat"),
 		bytesSent: () => sent.reduce((sum, one) => sum + JSON.stringify(one).length, 0),
 		setRoom(room: number[]) {
 			freeCpu = room
-			beats.noteRoomChange()
+			heartbeats.noteRoomChange()
 		},
-		workedOut: () => workedOut,
+		computedRooms: () => computedRooms,
 	}
 }
 
@@ -77,13 +77,13 @@
 		const world = createWorld()
 		world.setRoom([30_000])
 		await world.clock.advance(5)
-		expect(world.told()).to.have.length(1)
+		expect(world.roomUpdates()).to.have.length(1)
 		world.setRoom([20_000])
 		await world.clock.advance(10)
 		world.setRoom([])
 		await world.clock.advance(20)
-		expect(world.told()).to.have.length(2)
-		expect(world.told()[1]?.rooms["a"]?.freeCpu).to.eql([])
+		expect(world.roomUpdates()).to.have.length(2)
+		expect(world.roomUpdates()[1]?.rooms["a"]?.freeCpu).to.eql([])
 	})
 
 	it("are sent less often when only the amount changes", async () => {
@@ -92,17 +92,17 @@
 			world.setRoom([30_000 + at])
 			await world.clock.advance(10)
 		}
-		expect(world.told().length).to.be.within(4, 7)
+		expect(world.roomUpdates().length).to.be.within(4, 7)
 	})
 
 	it("do not compute the capacity at each change", async () => {
 		const world = createWorld()
-		const before = world.workedOut()
+		const before = world.computedRooms()
 		for (let at = 0; at < 300; at++) {
 			world.setRoom([30_000 + at])
 			await world.clock.advance(1)
 		}
-		expect(world.workedOut() - before).to.be.lessThan(40)
+		expect(world.computedRooms() - before).to.be.lessThan(40)
 	})
 
 	it("are not sent while the figures that others decide by are unchanged", async () => {
@@ -111,12 +111,12 @@
 		await world.clock.advance(100)
 		world.setRoom([30_000])
 		await world.clock.advance(100)
-		expect(world.told()).to.have.length(1)
+		expect(world.roomUpdates()).to.have.length(1)
 	})
 })
 
 describe("the size of heartbeats", () => {
-	const beatOfOther = (
+	const heartbeatOfOther = (
 		other: Member,
 		fences: Readonly<Record<string, number>>,
 	): HeartbeatDatagram => ({
@@ -132,32 +132,33 @@
 
 	it("includes only claims that the receiver has not reported to know", () => {
 		const world = createWorld()
-		world.beats.receive(beatOfOther(world.other, {b: 1}))
+		world.heartbeats.receive(heartbeatOfOther(world.other, {b: 1}))
 		expect(
 			world
-				.beatsSent()
+				.heartbeatsSent()
 				.at(-1)
 				?.claims.map(({failureDomain}) => failureDomain),
 		).to.eql(["a"])
-		world.beats.receive(beatOfOther(world.other, {a: 1, b: 1}))
-		expect(world.beatsSent().at(-1)).to.deep.include({claims: [], fences: {a: 1, b: 1}})
+		world.heartbeats.receive(heartbeatOfOther(world.other, {a: 1, b: 1}))
+		expect(world.heartbeatsSent().at(-1)).to.deep.include({claims: [], fences: {a: 1, b: 1}})
 	})
 
 	it("includes all claims for a session whose known fences were evicted", async () => {
 		const world = createWorld()
-		world.beats.receive(beatOfOther(world.other, {a: 1, b: 1}))
+		world.heartbeats.receive(heartbeatOfOther(world.other, {a: 1, b: 1}))
 		await world.clock.advance(200)
-		expect(world.beatsSent().at(-1)?.claims).to.eql([])
+		expect(world.heartbeatsSent().at(-1)?.claims).to.eql([])
 		for (let at = 0; at < 1_000; at++)
-			world.beats.receive(beatOfOther({...world.other, session: `s${at}`}, {a: 1, b: 1}))
+			world.heartbeats.receive(heartbeatOfOther({...world.other, session: `s${at}`}, {a: 1, b: 1}))
 		await world.clock.advance(200)
-		expect(world.beatsSent().at(-1)?.claims).to.have.length(2)
+		expect(world.heartbeatsSent().at(-1)?.claims).to.have.length(2)
 	})
 
 	it("includes a claim until the receiver reports its fence, whatever was lost", () => {
 		const world = createWorld()
-		for (let lost = 0; lost < 3; lost++) world.beats.receive(beatOfOther(world.other, {b: 1}))
-		const described = world.beatsSent().slice(-3)
+		for (let lost = 0; lost < 3; lost++)
+			world.heartbeats.receive(heartbeatOfOther(world.other, {b: 1}))
+		const described = world.heartbeatsSent().slice(-3)
 		for (const {claims} of described) expect(claims).to.have.length(1)
 	})
 
@@ -167,7 +168,7 @@
 	 */
 	it("stays within a small share of a narrow link, however often room changes", async () => {
 		const world = createWorld(2)
-		world.beats.receive(beatOfOther(world.other, {a: 1, b: 1}))
+		world.heartbeats.receive(heartbeatOfOther(world.other, {a: 1, b: 1}))
 		const before = world.bytesSent()
 		const seconds = 4
 		for (let at = 0; at < seconds * 200; at++) {
@@ -177,6 +178,6 @@
 		const linkBytes = seconds * 250_000
 		expect((world.bytesSent() - before) / linkBytes).to.be.lessThan(0.06)
 		// Updates still arrive within a fraction of a short task's slack.
-		expect(world.told().length / seconds).to.be.greaterThan(10)
+		expect(world.roomUpdates().length / seconds).to.be.greaterThan(10)
 	})
 })
--- a/packages/jobs/test/confirmed-callers.test.ts
+++ b/packages/jobs/test/confirmed-callers.test.ts
@@ -30,7 +30,7 @@
 const claim: Claim = {failureDomain: "b", fence: 1, placer: other}
 const ignore = () => undefined
 
-interface Told {
+interface Forwarded {
 	readonly message: JobMessage | TaskMessage
 	readonly confirmedAt: () => number
 }
@@ -47,14 +47,14 @@
 		isLeaving: false,
 		configVersion: 1,
 	})
-	const told: Told[] = []
-	function tell<M extends Told["message"]>(
+	const forwarded: Forwarded[] = []
+	function forward<M extends Forwarded["message"]>(
 		_address: string,
 		message: M,
 		_timeoutMs: number,
 		confirmedAt: () => number,
 	) {
-		told.push({message, confirmedAt})
+		forwarded.push({message, confirmedAt})
 		return {
 			reply: new Promise<never>(ignore),
 			wasUnsent: () => false,
@@ -62,13 +62,13 @@
 			cancel: ignore,
 		}
 	}
-	const peers = fakePeers({runJob: tell<JobMessage>, runTask: tell<TaskMessage>})
-	const asked: TaskRequest[] = []
+	const peers = fakePeers({runJob: forward<JobMessage>, runTask: forward<TaskMessage>})
+	const submitted: TaskRequest[] = []
 	const callers: {readonly confirmedAt: () => number}[] = []
 	const host = {
 		placer: {
 			submit(req: TaskRequest) {
-				asked.push(req)
+				submitted.push(req)
 				return {cancel: ignore}
 			},
 		},
@@ -113,53 +113,53 @@
 	const setUnread = (ms: number) => void (unreadMs = ms)
 	const readUpTo = () => clock.now() - unreadMs
 	const callHere = () => ({onCancel: ignore, madeAt: readUpTo(), confirmedAt: readUpTo})
-	return {clock, callHere, dispatcher, overflow, told, asked, callers, job, setUnread}
+	return {clock, callHere, dispatcher, overflow, forwarded, submitted, callers, job, setUnread}
 }
 
 const remote = {onCancel: ignore, madeAt: 900, confirmedAt: () => HEARD_AT}
 
 describe("the time as of which a caller wants its work", () => {
 	it("is reported to another instance's placer repeatedly, as the time up to which input was read here", async () => {
-		const {clock, callHere, dispatcher, told, job, setUnread} = createWorld(false)
+		const {clock, callHere, dispatcher, forwarded, job, setUnread} = createWorld(false)
 		void dispatcher.dispatch(job, QUEUE, callHere())
 		await clock.advance(50)
 		setUnread(30)
-		expect(told.map(({confirmedAt}) => confirmedAt())).to.eql([clock.now() - 30])
+		expect(forwarded.map(({confirmedAt}) => confirmedAt())).to.eql([clock.now() - 30])
 	})
 
 	it("reduces a call's remaining time when input may be unread", async () => {
-		const {clock, callHere, dispatcher, told, job, setUnread} = createWorld(false)
+		const {clock, callHere, dispatcher, forwarded, job, setUnread} = createWorld(false)
 		setUnread(500)
 		void dispatcher.dispatch(job, QUEUE, callHere())
 		await clock.advance(1)
-		expect(told[0]?.message).to.deep.include({leftMs: 1_500, ageMs: 500})
+		expect(forwarded[0]?.message).to.deep.include({leftMs: 1_500, ageMs: 500})
 	})
 
 	it("is taken from the calling instance, for its jobs and its tasks", async () => {
-		const {dispatcher, asked, callers, job} = createWorld(true)
+		const {dispatcher, submitted, callers, job} = createWorld(true)
 		const both = {failureDomain: "b", from: "other", leftMs: 1_000}
 		await dispatcher.runJob({...both, job, queue: QUEUE, ageMs: 0, configVersion: 0}, remote)
 		const task = taskRequest("j.0.0.0")
 		void dispatcher.runTask({...both, task, startInMs: 100, uselessInMs: 200}, remote)
 		expect(callers.map(({confirmedAt}) => confirmedAt())).to.eql([HEARD_AT])
-		expect(asked.map(({confirmedAt}) => confirmedAt())).to.eql([HEARD_AT])
-		expect(asked[0]).to.deep.include({startBy: 1_000, uselessAt: 1_100, deadlineAt: 1_900})
+		expect(submitted.map(({confirmedAt}) => confirmedAt())).to.eql([HEARD_AT])
+		expect(submitted[0]).to.deep.include({startBy: 1_000, uselessAt: 1_100, deadlineAt: 1_900})
 	})
 
 	it("is passed on with a task that is handed to another domain", () => {
-		const {overflow, told} = createWorld(false)
+		const {overflow, forwarded} = createWorld(false)
 		overflow.handOver({
 			req: taskRequest("j.0.0.0", {confirmedAt: () => HEARD_AT}),
 			since: 0,
 			onEnd: ignore,
 			onStart: ignore,
 		})
-		expect(told.map(({confirmedAt}) => confirmedAt())).to.eql([HEARD_AT])
+		expect(forwarded.map(({confirmedAt}) => confirmedAt())).to.eql([HEARD_AT])
 	})
 
 	it("is not advanced once the job is over", async () => {
 		const {clock, job} = createWorld(false)
-		const asked: TaskRequest[] = []
+		const submitted: TaskRequest[] = []
 		const need = {cpu: 1, memoryMb: 1, accelerators: 0}
 		const steps = [{count: 1, need, estimateMs: 100, after: []}]
 		const run = startJobRun({...job, steps}, QUEUE, {
@@ -168,7 +168,7 @@
 			metrics: createJobMetrics(),
 			confirmedAt: () => clock.now(),
 			submit(req) {
-				asked.push(req)
+				submitted.push(req)
 				return {cancel: ignore}
 			},
 		})
@@ -176,6 +176,6 @@
 		const overAt = clock.now()
 		run.cancel()
 		await clock.advance(40)
-		expect(asked.map(({confirmedAt}) => confirmedAt())).to.eql([overAt])
+		expect(submitted.map(({confirmedAt}) => confirmedAt())).to.eql([overAt])
 	})
 })
--- a/packages/jobs/test/confirmed-leases.test.ts
+++ b/packages/jobs/test/confirmed-leases.test.ts
@@ -40,33 +40,33 @@
 	}
 
 	/** Hands some runs over; nobody reports the others. */
-	function give(from: Placer, to: Placer, tasks: readonly string[]) {
+	function handOver(from: Placer, to: Placer, tasks: readonly string[]) {
 		from.handOverAll(({req}, runsAt?: RunLocation) => {
 			if (!runsAt || !tasks.includes(req.task)) return
 			to.adopt(req, runsAt, end => void ends.push({...end, task: req.task}))
 		})
 	}
 
-	const isThere = (task: string) => executor.running.has(task)
-	return {clock, executor, ends, place, submit, give, isThere, now: () => clock.now()}
+	const isRunning = (task: string) => executor.running.has(task)
+	return {clock, executor, ends, place, submit, handOver, isRunning, now: () => clock.now()}
 }
 
 describe("a run whose caller is not heard any more", () => {
 	it("ends in time although its neighbour's caller is still heard", async () => {
-		const {clock, place, submit, isThere, now} = createWorld()
+		const {clock, place, submit, isRunning, now} = createWorld()
 		const placer = place(7)
 		await clock.advance(1_500)
 		const heardAt = now()
 		submit(placer, NEIGHBOUR, now)
 		submit(placer, TASK, () => heardAt)
 		await clock.advance(200)
-		expect([isThere(TASK), isThere(NEIGHBOUR)]).to.eql([true, true])
+		expect([isRunning(TASK), isRunning(NEIGHBOUR)]).to.eql([true, true])
 		await clock.advance(LEASE_RULE.endsWithinMs - 200)
-		expect(isThere(TASK)).to.equal(false)
+		expect(isRunning(TASK)).to.equal(false)
 	})
 
 	it("does not start under a lease that outlasts it, until the caller is heard", async () => {
-		const {clock, place, submit, isThere, now} = createWorld()
+		const {clock, place, submit, isRunning, now} = createWorld()
 		const placer = place(7)
 		await clock.advance(1_500)
 		submit(placer, NEIGHBOUR, now)
@@ -74,14 +74,14 @@
 		let heardAt = now() - 400
 		submit(placer, TASK, () => heardAt)
 		await clock.advance(200)
-		expect(isThere(TASK)).to.equal(false)
+		expect(isRunning(TASK)).to.equal(false)
 		heardAt = now()
 		await clock.advance(50)
-		expect(isThere(TASK)).to.equal(true)
+		expect(isRunning(TASK)).to.equal(true)
 	})
 
 	it("does not have its lease renewed for its neighbour while nobody has handed it over", async () => {
-		const {clock, executor, place, submit, give, isThere, now} = createWorld()
+		const {clock, executor, place, submit, handOver, isRunning, now} = createWorld()
 		const first = place(7)
 		await clock.advance(1_500)
 		submit(first, NEIGHBOUR, now)
@@ -90,13 +90,13 @@
 		const second = place(8, {orphansWaitMs: 800})
 		executor.isLost = ({type}) => type === "stop"
 		await clock.advance(20)
-		give(first, second, [NEIGHBOUR])
+		handOver(first, second, [NEIGHBOUR])
 		await clock.advance(LEASE_RULE.longestEndMs)
-		expect(isThere(TASK)).to.equal(false)
+		expect(isRunning(TASK)).to.equal(false)
 	})
 
 	it("does not start under a lease that the previous placer may have requested until its fence was refused", async () => {
-		const {clock, executor, place, submit, isThere, now} = createWorld()
+		const {clock, executor, place, submit, isRunning, now} = createWorld()
 		executor.isLost = () => true
 		const placer = place(8)
 		await clock.advance(900)
@@ -105,11 +105,11 @@
 		const heardAt = now() - 400
 		submit(placer, TASK, () => heardAt)
 		await clock.advance(50)
-		expect(isThere(TASK)).to.equal(false)
+		expect(isRunning(TASK)).to.equal(false)
 	})
 
 	it("is not reported as lost at the successor before the last requested lease has ended", async () => {
-		const {clock, executor, ends, place, submit, give, isThere, now} = createWorld()
+		const {clock, executor, ends, place, submit, handOver, isRunning, now} = createWorld()
 		const first = place(7)
 		await clock.advance(1_500)
 		submit(first, TASK, now)
@@ -117,7 +117,7 @@
 		executor.isLost = ({fence}) => fence === 8
 		const second = place(8, {orphansWaitMs: 800})
 		await clock.advance(600)
-		give(first, second, [TASK])
+		handOver(first, second, [TASK])
 		while (ends.length === 0) await clock.advance(10)
 		expect(ends).to.eql([
 			{
@@ -129,7 +129,7 @@
 				task: TASK,
 			},
 		])
-		expect(isThere(TASK)).to.equal(false)
+		expect(isRunning(TASK)).to.equal(false)
 	})
 })
 
--- a/packages/jobs/test/evacuations.test.ts
+++ b/packages/jobs/test/evacuations.test.ts
@@ -34,7 +34,7 @@
 	revision: 1,
 })
 
-function createKnown() {
+function createTracker() {
 	let changes = 0
 	const evacuations = createEvacuations({
 		log: silentLog,
@@ -51,7 +51,7 @@
 
 describe("evacuations", () => {
 	it("are read from a listing, begin and end by changes, and ignore other keys", () => {
-		const {evacuations, underWay, changes} = createKnown()
+		const {evacuations, underWay, changes} = createTracker()
 		const other: StoreItem = {key: "config", value: {}, revision: 1}
 		evacuations.applyListing({items: [other, item("a")], revision: 5})
 		expect(underWay()).to.eql(["a"])
@@ -65,7 +65,7 @@
 	})
 
 	it("ignore an unreadable value, and keep the evacuation that was in force", () => {
-		const {evacuations, underWay} = createKnown()
+		const {evacuations, underWay} = createTracker()
 		evacuations.applyListing({items: [item("a", 7)], unreadable: [PREFIX + "b"], revision: 5})
 		expect(underWay()).to.eql([])
 		evacuations.applyChange({items: [item("c")], deleted: [], revision: 6})
@@ -77,7 +77,7 @@
 	})
 
 	it("are taken from a peer's report only if it is newer than the store's", () => {
-		const {evacuations, underWay} = createKnown()
+		const {evacuations, underWay} = createTracker()
 		evacuations.applyListing({items: [item("a")], revision: 5})
 		const news = (revision: number, failureDomains: readonly string[]): EvacuationSnapshot => ({
 			revision,
@@ -95,10 +95,10 @@
 	})
 
 	it("are not ended by the report of an instance whose watch had no changes", () => {
-		const deaf = createKnown()
+		const deaf = createTracker()
 		deaf.evacuations.applyListing({items: [item("b")], revision: 5})
 		deaf.evacuations.applyChange({items: [], deleted: [], revision: 30})
-		const hearing = createKnown()
+		const hearing = createTracker()
 		hearing.evacuations.applyListing({items: [item("a"), item("b")], revision: 20})
 		const [told, heard] = [deaf.evacuations.snapshot(), hearing.evacuations.snapshot()]
 		if (told) hearing.evacuations.applySnapshot(told, "deaf")
@@ -110,7 +110,7 @@
 	})
 
 	it("are omitted from heartbeats until there has been one", () => {
-		const {evacuations} = createKnown()
+		const {evacuations} = createTracker()
 		evacuations.applyListing({items: [], revision: 5})
 		expect(evacuations.snapshot()).to.equal(undefined)
 		evacuations.applyListing({items: [item("a")], revision: 6})
@@ -228,10 +228,10 @@
 	})
 })
 
-function createCaller(evacuated: readonly string[]) {
+function createDispatching(evacuated: readonly string[]) {
 	const clock = createFakeClock()
 	const view = createFleetView(clock, () => undefined)
-	const asked: string[] = []
+	const calledAddresses: string[] = []
 	const member = (domain: string): Member => ({
 		name: `${domain}-1`,
 		session: `${domain}-1-s`,
@@ -246,7 +246,7 @@
 		self: {...member("a"), name: "a-2", session: "a-2-s", address: "a-2:1"},
 		peers: fakePeers({
 			runJob(address) {
-				asked.push(address)
+				calledAddresses.push(address)
 				const reply = Promise.resolve<JobReply>({type: "completed"})
 				return {reply, wasUnsent: () => false, wasRefused: () => false, cancel: () => undefined}
 			},
@@ -271,46 +271,51 @@
 		receivedAt: clock.now(),
 		deadlineAt: clock.now() + 5_000,
 	})
-	return {clock, dispatcher, asked, dispatch: () => dispatcher.dispatch(job(), QUEUE, STAYING)}
+	return {
+		clock,
+		dispatcher,
+		calledAddresses,
+		dispatch: () => dispatcher.dispatch(job(), QUEUE, STAYING),
+	}
 }
 
 describe("callers of a failure domain under evacuation", () => {
 	it("are spread over the other domains in turn", async () => {
-		const {asked, dispatch} = createCaller(["a"])
+		const {calledAddresses, dispatch} = createDispatching(["a"])
 		for (let at = 0; at < 4; at++) expect((await dispatch()).type).to.equal("completed")
-		expect([...asked].sort()).to.eql(["b-1:1", "b-1:1", "c-1:1", "c-1:1"])
+		expect([...calledAddresses].sort()).to.eql(["b-1:1", "b-1:1", "c-1:1", "c-1:1"])
 	})
 
 	/*
 	 * Guards against canPlace() advancing the round-robin turn, which sent all jobs to one domain.
 	 */
 	it("are spread evenly, however often readiness is checked", async () => {
-		const {asked, dispatch, dispatcher} = createCaller(["a"])
+		const {calledAddresses, dispatch, dispatcher} = createDispatching(["a"])
 		for (let at = 0; at < 4; at++) {
 			await dispatch()
 			dispatcher.canPlace()
 		}
-		expect([...asked].sort()).to.eql(["b-1:1", "b-1:1", "c-1:1", "c-1:1"])
+		expect([...calledAddresses].sort()).to.eql(["b-1:1", "b-1:1", "c-1:1", "c-1:1"])
 	})
 
 	it("are served by the only domain left of three", async () => {
-		const {asked, dispatch} = createCaller(["a", "c"])
+		const {calledAddresses, dispatch} = createDispatching(["a", "c"])
 		for (let at = 0; at < 2; at++) await dispatch()
-		expect(asked).to.eql(["b-1:1", "b-1:1"])
+		expect(calledAddresses).to.eql(["b-1:1", "b-1:1"])
 	})
 
 	it("are refused at once when all domains are evacuated, by an instance that stays ready", async () => {
-		const {asked, clock, dispatch, dispatcher} = createCaller(["a", "b", "c"])
+		const {calledAddresses, clock, dispatch, dispatcher} = createDispatching(["a", "b", "c"])
 		const startedAt = clock.now()
 		expect(await dispatch()).to.deep.include({type: "refused", kind: "no_capacity"})
 		expect(clock.now() - startedAt).to.equal(0)
-		expect(asked).to.eql([])
+		expect(calledAddresses).to.eql([])
 		expect(dispatcher.canPlace()).to.equal(true)
 	})
 
 	it("are served as usual when an unknown domain is evacuated", async () => {
-		const {asked, dispatch} = createCaller(["nowhere"])
+		const {calledAddresses, dispatch} = createDispatching(["nowhere"])
 		await dispatch()
-		expect(asked).to.eql(["a-1:1"])
+		expect(calledAddresses).to.eql(["a-1:1"])
 	})
 })
--- a/packages/jobs/test/fleet.test.ts
+++ b/packages/jobs/test/fleet.test.ts
@@ -41,11 +41,11 @@
 	readonly canReachExecutors?: () => boolean
 	readonly domains?: readonly string[]
 	/** The session that answers at a member's address. */
-	readonly lifeAt?: (member: Member) => string
+	readonly sessionAt?: (member: Member) => string
 	readonly pingTakesMs?: (member: Member) => number
 	readonly ownLateMs?: () => number
 }) {
-	const lifeAt = options.lifeAt ?? (({session}: Member) => session)
+	const sessionAt = options.sessionAt ?? (({session}: Member) => session)
 	const clock = createFakeClock()
 	const {fake, store} = createFakeStore()
 	const view = createFleetView(clock, () => undefined)
@@ -65,7 +65,7 @@
 			const tookMs = options.pingTakesMs?.(one) ?? 0
 			if (tookMs > 0) await clock.sleep(Math.min(tookMs, USUAL_PING_MS + patienceMs))
 			const isInTime = tookMs <= USUAL_PING_MS + patienceMs
-			return isInTime && options.answers?.(one) ? lifeAt(one) : undefined
+			return isInTime && options.answers?.(one) ? sessionAt(one) : undefined
 		},
 		ownLateMs: () => options.ownLateMs?.() ?? 0,
 		canReachExecutors: () => Promise.resolve(options.canReachExecutors?.() ?? true),
@@ -76,7 +76,7 @@
 
 describe("claims", () => {
 	const [one, two, far] = [member("a-1"), member("a-2"), member("b-1", "b")] as const
-	const heldByOne: Claim = {failureDomain: "a", fence: 4, placer: one}
+	const claimOfOne: Claim = {failureDomain: "a", fence: 4, placer: one}
 
 	it("takes a vacant domain with the first fence", async () => {
 		const world = createWorld({self: one, members: [one, two], answers: () => true})
@@ -87,7 +87,7 @@
 
 	it("raises the fence when the placer has been silent and does not answer", async () => {
 		const answers = ({name}: Member) => name === "b-1"
-		const world = createWorld({self: two, members: [one, two, far], claims: [heldByOne], answers})
+		const world = createWorld({self: two, members: [one, two, far], claims: [claimOfOne], answers})
 		await world.clock.advance(800)
 		expect(world.fenceOf()).to.equal(4)
 		await world.clock.advance(1_200)
@@ -109,7 +109,7 @@
 			members: [one, two, far],
 			claims: [heldByFar],
 			answers: () => true,
-			lifeAt: ({name}) => `${name}-s`,
+			sessionAt: ({name}) => `${name}-s`,
 		})
 		await world.clock.advance(400)
 		expect(world.fenceOf()).to.equal(5)
@@ -121,7 +121,7 @@
 		const world = createWorld({
 			self: two,
 			members: [one, two, far, slow],
-			claims: [heldByOne],
+			claims: [claimOfOne],
 			answers: ({name}) => name === "b-1",
 			pingTakesMs: ({name}) => (name === "b-1" ? 1 : 350),
 		})
@@ -136,7 +136,7 @@
 	 * each replacement discards runs and causes the next one.
 	 */
 	describe("of a placer that is late, not silent", () => {
-		const beatOf = (from: Member, lateMs: number): Heartbeat => ({
+		const heartbeatFrom = (from: Member, lateMs: number): Heartbeat => ({
 			from,
 			claims: [],
 			rooms: {},
@@ -149,31 +149,31 @@
 		 * The placer sends a heartbeat each 1.2 s and answers pings after 0.9 s, as if each of its
 		 * turns took 0.3 s.
 		 */
-		async function playLate(lateMs: number) {
+		async function simulateLatePlacer(lateMs: number) {
 			const world = createWorld({
 				self: two,
 				members: [one, two, far],
-				claims: [heldByOne],
+				claims: [claimOfOne],
 				answers: () => true,
 				pingTakesMs: ({name}) => (name === one.name ? 900 : 1),
 			})
 			for (let beats = 0; beats < 8; beats++) {
-				world.view.applyHeartbeat(beatOf(one, lateMs))
+				world.view.applyHeartbeat(heartbeatFrom(one, lateMs))
 				await world.clock.advance(1_200)
 			}
 			return world.fenceOf()
 		}
 
 		it("stay with it when it has reported its lateness", async () => {
-			expect(await playLate(0)).to.be.greaterThan(4)
-			expect(await playLate(300)).to.equal(4)
+			expect(await simulateLatePlacer(0)).to.be.greaterThan(4)
+			expect(await simulateLatePlacer(300)).to.equal(4)
 		})
 
 		it("stay with it when the watching instance itself is late", async () => {
 			const world = createWorld({
 				self: two,
 				members: [one, two, far],
-				claims: [heldByOne],
+				claims: [claimOfOne],
 				answers: () => true,
 				pingTakesMs: ({name}) => (name === one.name ? 900 : 1),
 				ownLateMs: () => 300,
@@ -188,10 +188,10 @@
 				const world = createWorld({
 					self: two,
 					members: [one, two, far],
-					claims: [heldByOne],
+					claims: [claimOfOne],
 					answers,
 				})
-				world.view.applyHeartbeat(beatOf(one, lateMs))
+				world.view.applyHeartbeat(heartbeatFrom(one, lateMs))
 				world.view.noteUnreachable(one.session)
 				await world.clock.advance(1_000)
 				return world.fenceOf()
@@ -202,8 +202,13 @@
 
 		it("go to another one when it is gone, however late it was", async () => {
 			const answers = ({name}: Member) => name === "b-1"
-			const world = createWorld({self: two, members: [one, two, far], claims: [heldByOne], answers})
-			world.view.applyHeartbeat(beatOf(one, 5_000))
+			const world = createWorld({
+				self: two,
+				members: [one, two, far],
+				claims: [claimOfOne],
+				answers,
+			})
+			world.view.applyHeartbeat(heartbeatFrom(one, 5_000))
 			await world.clock.advance(4_500)
 			expect(world.fenceOf()).to.equal(5)
 		})
@@ -226,7 +231,7 @@
 		const world = createWorld({
 			self: two,
 			members: [one, two],
-			claims: [heldByOne],
+			claims: [claimOfOne],
 			answers: () => true,
 		})
 		await world.clock.advance(5_000)
@@ -234,7 +239,7 @@
 	})
 
 	it("takes nothing over when no other instance answers", async () => {
-		const world = createWorld({self: two, members: [one, two, far], claims: [heldByOne]})
+		const world = createWorld({self: two, members: [one, two, far], claims: [claimOfOne]})
 		await world.clock.advance(5_000)
 		expect(world.fake.puts).to.equal(0)
 	})
@@ -283,7 +288,7 @@
 	})
 
 	it("yields to a claim that was written in between, and evaluates that one anew", async () => {
-		const world = createWorld({self: two, members: [two], claims: [heldByOne]})
+		const world = createWorld({self: two, members: [two], claims: [claimOfOne]})
 		const other: Claim = {failureDomain: "a", fence: 9, placer: member("a-3")}
 		world.fake.write(claimKey("a"), other)
 		await world.clock.advance(1_900)
@@ -328,8 +333,8 @@
 	const heldThere: Claim = {failureDomain: "b", fence: 2, placer: there}
 	const heldHere: Claim = {failureDomain: "a", fence: 1, placer: here}
 
-	function createAway(members: readonly Member[], isAnswering: boolean) {
-		let looks = 0
+	function createForeignDomain(members: readonly Member[], isAnswering: boolean) {
+		let probes = 0
 		const world = createWorld({
 			self: here,
 			members,
@@ -337,36 +342,36 @@
 			answers: ({name}) => isAnswering || name !== there.name,
 			domains: ["a", "b"],
 			canReachExecutors: () => {
-				looks++
+				probes++
 				return true
 			},
 		})
-		return {...world, looks: () => looks}
+		return {...world, probes: () => probes}
 	}
 
 	it("does not probe the executors of an unheard placer that answers pings", async () => {
-		const world = createAway([here, there], true)
+		const world = createForeignDomain([here, there], true)
 		await world.clock.advance(10_000)
-		expect(world.looks()).to.equal(0)
+		expect(world.probes()).to.equal(0)
 		expect(world.fenceOf("b")).to.equal(2)
 	})
 
 	it("are left to the domain's own instances", async () => {
-		const world = createAway([here, there, third], false)
+		const world = createForeignDomain([here, there, third], false)
 		await world.clock.advance(10_000)
 		expect(world.fenceOf("b")).to.equal(2)
 	})
 
 	it("are watched by the first instance of each domain only", async () => {
 		const larger = {...member("a-2"), cpuShare: 1.35}
-		const world = createAway([here, there, larger], false)
+		const world = createForeignDomain([here, there, larger], false)
 		await world.clock.advance(10_000)
-		expect(world.looks()).to.equal(0)
+		expect(world.probes()).to.equal(0)
 		expect(world.fenceOf("b")).to.equal(2)
 	})
 
 	it("are taken over from a placer that does not answer when the domain has no other instance", async () => {
-		const world = createAway([here, there], false)
+		const world = createForeignDomain([here, there], false)
 		await world.clock.advance(5_500)
 		expect(world.fenceOf("b")).to.equal(3)
 	})
--- a/packages/jobs/test/losses.test.ts
+++ b/packages/jobs/test/losses.test.ts
@@ -51,22 +51,22 @@
 })
 
 /** A healthy executor whose holds are answered by the test. */
-class HeldExecutors extends FakeExecutors {
+class ManualHoldExecutors extends FakeExecutors {
 	readonly holds: {
 		readonly order: HoldOrder
 		readonly answer: (reply: HoldReply) => void
 	}[] = []
-	isDeciding = false
+	isManual = false
 
 	override hold(...[executor, order, timeoutMs]: Parameters<FakeExecutors["hold"]>) {
-		if (!this.isDeciding) return super.hold(executor, order, timeoutMs)
+		if (!this.isManual) return super.hold(executor, order, timeoutMs)
 		return new Promise<HoldReply>(answer => this.holds.push({order: order as HoldOrder, answer}))
 	}
 }
 
 function createWorld() {
 	const clock = createFakeClock()
-	const orders = new HeldExecutors(clock)
+	const orders = new ManualHoldExecutors(clock)
 	const ends: (TaskEnd & {readonly task: string})[] = []
 	const placer = createTestPlacer({clock, orders})
 	function submit(task: string) {
@@ -141,7 +141,7 @@
 		await clock.advance(300)
 		// Two holds each 80 ms, not one each 250 ms.
 		expect(orders.fences.length - before).to.be.within(6, 9)
-		orders.isDeciding = true
+		orders.isManual = true
 		await clock.advance(100)
 		expect(orders.holds).to.have.length(2)
 		const [lost, told] = orders.holds
@@ -161,7 +161,7 @@
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
 		await loseStarts(clock, orders, submit)
-		orders.isDeciding = true
+		orders.isManual = true
 		await clock.advance(100)
 		const [older, newer] = orders.holds
 		const running = ["j.0.0.0", "j.0.0.1"].map(task => ({task, run: 1, percent: 50}))
--- a/packages/jobs/test/placer.test.ts
+++ b/packages/jobs/test/placer.test.ts
@@ -121,12 +121,12 @@
 		await clock.advance(10)
 		// The first start is done and not answered; the run is over when the second arrives.
 		orders.startReplies = ["silent but done", {type: "refused", cause: "old", clockMs: clock.now()}]
-		orders.isListingLate = true
+		orders.areHoldsLost = true
 		submit("j.0.0.0")
 		await clock.advance(20)
 		orders.end("j.0.0.0", "done")
 		await clock.advance(100)
-		orders.isListingLate = false
+		orders.areHoldsLost = false
 		await clock.advance(1_000)
 		expect(ends.map(({type}) => type)).to.eql(["done"])
 	})
--- a/packages/jobs/test/reach.test.ts
+++ b/packages/jobs/test/reach.test.ts
@@ -14,13 +14,13 @@
 	const {fake, store} = createFakeStore()
 	const records = DOMAINS.map(domain => ({...record(`${domain}1`), failureDomain: domain}))
 	for (const one of records) fake.write(`e/${one.id}`, one.id)
-	const asked: string[] = []
-	const reach = createReachabilityProbe({
+	const probed: string[] = []
+	const probe = createReachabilityProbe({
 		clock,
 		store,
 		orders: {
 			isReachable: one => {
-				asked.push(one.id)
+				probed.push(one.id)
 				return Promise.resolve(one.id !== "c1")
 			},
 		},
@@ -28,7 +28,7 @@
 		decodeExecutor: ({value}) => records.find(({id}) => id === value),
 		latestExecutors: () => (options.isFollowed ? records : undefined),
 	})
-	return {clock, fake, reach, asked}
+	return {clock, fake, probe, probed}
 }
 
 describe("probing executors of other failure domains", () => {
@@ -37,31 +37,31 @@
 	 * placer was heard and the probes continued.
 	 */
 	it("reads the list once for all of them, and again only after a while", async () => {
-		const {clock, fake, reach} = createWorld()
+		const {clock, fake, probe} = createWorld()
 		for (let at = 0; at < 8; at++) {
-			const answers = await Promise.all(DOMAINS.map(domain => reach.canReachExecutors(domain)))
+			const answers = await Promise.all(DOMAINS.map(domain => probe.canReachExecutors(domain)))
 			expect(answers).to.eql([true, true, false, true, true])
 			await clock.advance(500)
 		}
 		expect(fake.lists).to.equal(1)
 		await clock.advance(2_000)
-		await reach.canReachExecutors("a")
+		await probe.canReachExecutors("a")
 		expect(fake.lists).to.equal(2)
 	})
 
 	it("does not read the list where it is followed", async () => {
-		const {fake, reach, asked} = createWorld({isFollowed: true})
-		expect(await reach.canReachExecutors("b")).to.equal(true)
-		expect(asked).to.eql(["b1"])
+		const {fake, probe, probed} = createWorld({isFollowed: true})
+		expect(await probe.canReachExecutors("b")).to.equal(true)
+		expect(probed).to.eql(["b1"])
 		expect(fake.lists).to.equal(0)
 	})
 
 	it("reads the list again when it was not answered", async () => {
-		const {clock, fake, reach} = createWorld()
+		const {clock, fake, probe} = createWorld()
 		fake.isAway = true
-		expect(await reach.canReachExecutors("a")).to.equal(false)
+		expect(await probe.canReachExecutors("a")).to.equal(false)
 		fake.isAway = false
 		await clock.advance(500)
-		expect(await reach.canReachExecutors("a")).to.equal(true)
+		expect(await probe.canReachExecutors("a")).to.equal(true)
 	})
 })
--- a/packages/jobs/test/sound-rooms.test.ts
+++ b/packages/jobs/test/sound-rooms.test.ts
@@ -17,7 +17,7 @@
 const claim: Claim = {failureDomain: "b", fence: 1, placer: other}
 const ROOM: Room = {freeCpu: [8_000, 0], totalCpu: 64_000, waitingWork: 0, labels: ["r1"]}
 
-const BROKEN: readonly unknown[] = [
+const INVALID_ROOMS: readonly unknown[] = [
 	undefined,
 	null,
 	"room",
@@ -34,11 +34,11 @@
 ]
 
 function createWorld() {
-	const broken: string[] = []
+	const invalid: string[] = []
 	const view = createFleetView(
 		createFakeClock(),
 		() => undefined,
-		reason => void broken.push(reason),
+		reason => void invalid.push(reason),
 	)
 	const beat = (rooms: unknown): Heartbeat => ({
 		from: other,
@@ -47,62 +47,68 @@
 		isLeaving: false,
 		configVersion: 1,
 	})
-	const tellNews = (rooms: unknown) => view.applyRoomUpdate({session: "b-s", rooms: rooms as never})
-	return {view, broken, tellBeat: (rooms: unknown) => view.applyHeartbeat(beat(rooms)), tellNews}
+	const reportUpdate = (rooms: unknown) =>
+		view.applyRoomUpdate({session: "b-s", rooms: rooms as never})
+	return {
+		view,
+		invalid,
+		reportHeartbeat: (rooms: unknown) => view.applyHeartbeat(beat(rooms)),
+		reportUpdate,
+	}
 }
 
 describe("reported room", () => {
 	it("is applied when it is valid", () => {
-		const {view, broken, tellBeat, tellNews} = createWorld()
+		const {view, invalid, reportHeartbeat, reportUpdate} = createWorld()
 		view.noteClaim(claim)
-		tellBeat({b: ROOM})
+		reportHeartbeat({b: ROOM})
 		expect(view.roomOf("b")?.room).to.eql(ROOM)
 		const {labels, ...figures} = {...ROOM, freeCpu: [4_000]}
-		tellNews({b: figures})
+		reportUpdate({b: figures})
 		expect(view.roomOf("b")?.room).to.eql({...figures, labels})
-		expect(broken).to.eql([])
+		expect(invalid).to.eql([])
 	})
 
 	it("is dropped and counted when it is invalid, keeping the previous report", () => {
-		for (const room of BROKEN) {
-			const {view, broken, tellBeat, tellNews} = createWorld()
+		for (const room of INVALID_ROOMS) {
+			const {view, invalid, reportHeartbeat, reportUpdate} = createWorld()
 			view.noteClaim(claim)
-			tellBeat({b: ROOM})
-			tellBeat({b: room})
-			tellNews({b: room})
+			reportHeartbeat({b: ROOM})
+			reportHeartbeat({b: room})
+			reportUpdate({b: room})
 			expect(view.roomOf("b")?.room, JSON.stringify(room)).to.eql(ROOM)
-			expect(broken).to.eql(["room", "room"])
+			expect(invalid).to.eql(["room", "room"])
 			expect(hasRoom({b: room} as never)).to.equal(false)
 		}
 	})
 
 	it("is dropped from a heartbeat when its labels are missing or no strings", () => {
-		const {view, broken, tellBeat} = createWorld()
+		const {view, invalid, reportHeartbeat} = createWorld()
 		view.noteClaim(claim)
-		tellBeat({b: {...ROOM, labels: undefined}})
-		tellBeat({b: {...ROOM, labels: [1]}})
+		reportHeartbeat({b: {...ROOM, labels: undefined}})
+		reportHeartbeat({b: {...ROOM, labels: [1]}})
 		expect(view.roomOf("b")).to.equal(undefined)
-		expect(broken).to.eql(["room", "room"])
+		expect(invalid).to.eql(["room", "room"])
 	})
 
 	it("is dropped when the rooms are no object", () => {
-		const {view, broken, tellBeat, tellNews} = createWorld()
+		const {view, invalid, reportHeartbeat, reportUpdate} = createWorld()
 		for (const rooms of [undefined, null, "rooms"]) {
-			tellBeat(rooms)
-			tellNews(rooms)
+			reportHeartbeat(rooms)
+			reportUpdate(rooms)
 			expect(hasRoom(rooms as never)).to.equal(false)
 		}
-		expect(broken).to.have.length(6)
+		expect(invalid).to.have.length(6)
 		expect(view.silentMs("b-s"), "its sender is heard").to.equal(0)
 	})
 
 	it("is dropped and counted without a known placer, and only dropped when another session places the domain", () => {
-		const {view, broken, tellBeat} = createWorld()
-		tellBeat({b: ROOM})
-		expect(broken).to.eql(["room_unclaimed"])
+		const {view, invalid, reportHeartbeat} = createWorld()
+		reportHeartbeat({b: ROOM})
+		expect(invalid).to.eql(["room_unclaimed"])
 		view.noteClaim({...claim, placer: {...other, session: "b-2-s"}})
-		tellBeat({b: ROOM})
+		reportHeartbeat({b: ROOM})
 		expect(view.roomOf("b")).to.equal(undefined)
-		expect(broken).to.eql(["room_unclaimed"])
+		expect(invalid).to.eql(["room_unclaimed"])
 	})
 })
--- a/packages/jobs/test/support/fake-executors.ts
+++ b/packages/jobs/test/support/fake-executors.ts
@@ -42,7 +42,7 @@
 	percent = 50
 	startReplies: (StartReply | "silent but done")[] = []
 	/** Holds time out, so that no ends are reported. */
-	isListingLate = false
+	areHoldsLost = false
 	/** The highest serial up to which ends may be forgotten. */
 	forgottenUpTo = 0
 	private ends: RunEnd[] = []
@@ -116,7 +116,7 @@
 		// A hold without a wait takes a moment, so that no loop spins at one instant.
 		else await this.clock.sleep(1)
 		const running = [...this.running].map(([task, run]) => ({task, run, percent: this.percent}))
-		if (this.isListingLate) {
+		if (this.areHoldsLost) {
 			await this.clock.sleep(timeoutMs)
 			return SILENT
 		}
--- a/packages/jobs/test/unwanted-runs.test.ts
+++ b/packages/jobs/test/unwanted-runs.test.ts
@@ -70,13 +70,13 @@
 	}
 
 	/** Hands over all runs, as a leaving placer does. */
-	function giveAll(from: Placer, to: Placer) {
+	function handOverAll(from: Placer, to: Placer) {
 		from.handOverAll(({req}, runsAt?: RunLocation) => {
 			if (runsAt) to.adopt(req, runsAt, end => void ends.push({...end, task: req.task}))
 		})
 	}
 
-	return {clock, executors, ends, place, run, giveAll}
+	return {clock, executors, ends, place, run, handOverAll}
 }
 
 describe("unwanted runs", () => {
@@ -162,7 +162,7 @@
 	})
 
 	it("are handed over as unwanted, from one successor to the next", async () => {
-		const {clock, executors, ends, place, run, giveAll} = createWorld()
+		const {clock, executors, ends, place, run, handOverAll} = createWorld()
 		const first = place(7, ["e1"])
 		const handle = await run(first, TASK)
 		await run(first, NEIGHBOUR)
@@ -171,11 +171,11 @@
 		await clock.advance(100)
 		const second = place(8, ["e1"], {orphansWaitMs: 800})
 		await clock.advance(5)
-		giveAll(first, second)
+		handOverAll(first, second)
 		await clock.advance(50)
 		const third = place(9, ["e1"], {orphansWaitMs: 800})
 		await clock.advance(5)
-		giveAll(second, third)
+		handOverAll(second, third)
 		executors.isLost = () => false
 		await clock.advance(300)
 		expect(executors.with(TASK)).to.eql([])
@@ -184,14 +184,14 @@
 	})
 
 	it("are reported as lost after a handover when they were stopped as stuck", async () => {
-		const {clock, executors, ends, place, run, giveAll} = createWorld()
+		const {clock, executors, ends, place, run, handOverAll} = createWorld()
 		const first = place(7, ["e1"])
 		await run(first, TASK, {isLasting: false, estimateMs: 100})
 		executors.isLost = isStop
 		await clock.advance(850)
 		const second = place(8, ["e1"], {orphansWaitMs: 800})
 		await clock.advance(5)
-		giveAll(first, second)
+		handOverAll(first, second)
 		executors.isLost = () => false
 		await clock.advance(400)
 		expect(ends.map(({type}) => type)).to.eql(["lost"])
@@ -203,7 +203,7 @@
 	const LISTED: readonly ExecutorRecord[] = [record("e1")]
 
 	it("do not delay a task for a run that ended with its executor's process", async () => {
-		const {clock, executors, ends, place, run, giveAll} = createWorld()
+		const {clock, executors, ends, place, run, handOverAll} = createWorld()
 		const first = place(7, ["e1"])
 		await run(first, TASK)
 		await run(first, NEIGHBOUR)
@@ -213,7 +213,7 @@
 		await clock.advance(20)
 		executors.at("e1").hold = async () => ({type: "replaced"})
 		await clock.advance(600)
-		giveAll(first, second)
+		handOverAll(first, second)
 		await clock.advance(20)
 		const lost = {type: "lost", executor: "e1", cause: "replaced", crash: "possible", task: TASK}
 		expect(ends).to.deep.include(lost)
@@ -275,7 +275,7 @@
 	for (const lostHolds of [1, 2])
 		it(`keep a run that is handed over within the wait though ${lostHolds} holds are lost`, async () => {
 			for (let phase = 0; phase < 400; phase += 20) {
-				const {clock, executors, ends, place, run, giveAll} = createWorld()
+				const {clock, executors, ends, place, run, handOverAll} = createWorld()
 				const first = place(7, ["e1"])
 				await run(first, TASK)
 				await clock.advance(500 + phase)
@@ -284,7 +284,7 @@
 				executors.at("e1").isLost = ({type, fence}) =>
 					fence === 8 && type === "hold" && ++holds > 1 && holds <= 1 + lostHolds
 				await clock.advance(20)
-				giveAll(first, second)
+				handOverAll(first, second)
 				await clock.advance(2_000)
 				expect(ends, `handed over at ${phase} ms of a hold`).to.eql([])
 			}
@@ -321,13 +321,13 @@
 	})
 
 	it("report a run as lost that is handed over after another process has answered at its executor", async () => {
-		const {clock, executors, ends, place, run, giveAll} = createWorld()
+		const {clock, executors, ends, place, run, handOverAll} = createWorld()
 		const first = place(7, ["e1"])
 		await run(first, TASK)
 		executors.at("e1").hold = async () => ({type: "replaced"})
 		const second = place(8, ["e1"], {orphansWaitMs: 800})
 		await clock.advance(5)
-		giveAll(first, second)
+		handOverAll(first, second)
 		await clock.advance(100)
 		expect(ends.map(({type}) => type)).to.include("lost")
 	})
