--- a/packages/jobs/src/fleet/speed-record.ts
+++ b/packages/jobs/src/fleet/speed-record.ts
@@ -22,7 +22,7 @@
 const MIN_RUNS = 2
 /** Far more than a domain has; bounds the cost of a foreign record. */
 const MAX_ENTRIES = 2_000
-/** Ids and labels are names, and short. */
+/** Executor ids and labels are short. */
 const MAX_NAME_LENGTH = 64
 
 type Entry = readonly [steps: number, runs: number]
--- a/packages/jobs/test/fleet.test.ts
+++ b/packages/jobs/test/fleet.test.ts
@@ -96,13 +96,10 @@
 	})
 
 	/*
-	 * Symptom: from 42 s on, after a loss of all instances, one domain had no placer until the day's end; a quarter of all
-	 * jobs was refused with its executors free. Sequence: a cut off domain's placer is stopped and hands over to an
-	 * instance of another domain; all instances die and come back; that one's next life answers at the same
-	 * address. Cause: any answer there counted as the placer's, for the domain's own instances and for itself. Settled by
-	 * `claim_held_back` lines each half second and `claim_written` ones for the two other domains alone.
+	 * Guards against taking any answer at a placer's address for the placer's own: after a restart
+	 * of all instances a new session answers there, and the domain stayed without a placer.
 	 */
-	it("takes a domain over from a foreign placer whose next life answers at its address", async () => {
+	it("takes a domain over from a foreign placer when a new session answers at its address", async () => {
 		const heldByFar: Claim = {failureDomain: "a", fence: 4, placer: member("b-1", "b", "earlier")}
 		const world = createWorld({
 			self: one,
