--- a/packages/core/src/core/assignment.ts
+++ b/packages/core/src/core/assignment.ts
@@ -1,15 +1,13 @@
 /**
- * Which instance places which target: rendezvous hashing with bounded load.
+ * Assigns targets to entry instances by rendezvous hashing with bounded load.
  *
- * Plain rendezvous hashing splits few targets unevenly (7 to 3 of 10 is common), while the balancer
- * sends each instance the same share of work; the instance with fewer slots then queues at 70% load.
- * The bound gives each instance at most its even share, and a change of members still moves few
- * targets.
+ * The bound caps each instance at its even share, since plain rendezvous hashing splits few targets
+ * unevenly. A change of members still moves few targets.
  */
 import {rank} from "../utils/hash.js"
 
 /**
- * Assigns each target to a member, evenly; the same on every instance that sees the same names.
+ * Returns the member of each target. Instances that know the same names compute the same result.
  *
  * @example assignEvenly(["x1", "x2"], ["e1", "e2"]).get("x1")
  */
--- a/packages/core/src/core/budget.ts
+++ b/packages/core/src/core/budget.ts
@@ -1,23 +1,23 @@
 /**
- * Budgets: a share of traffic for retries, and a rate for calls to the store.
+ * Rate limits: the retry budgets, and the spacing of writes to the store.
  */
 
 const MS_PER_SECOND = 1_000
 const MAX_TOKENS = 100
-/** Retries that little traffic may use, so that a lost worker does not fail a small job. */
+/** Retries that need no traffic, so that a lost worker does not fail a small job. */
 const RESERVE = 20
 const RESERVE_PER_SECOND = 5
 
 export interface RetryBudget {
-	/** Counts a first try, which earns a share of a retry. */
+	/** Adds the share of a retry that one first try earns. */
 	earn(): void
-	/** Takes one retry; false when the budget is spent. */
+	/** Takes one retry; returns false when none is left. */
 	spend(): boolean
 }
 
 /**
- * A retry budget that is a share of traffic, so that retries cannot multiply load when most first
- * tries fail, with a small reserve that refills with time.
+ * Creates a token bucket filled by first tries, so that retries cannot multiply the load when most
+ * first tries fail. A small reserve refills with time.
  */
 export function createRetryBudget(ratio: () => number, now: () => number): RetryBudget {
 	let tokens = 0
@@ -45,7 +45,9 @@
 	}
 }
 
-/** Milliseconds between two writes of one instance so that the fleet stays within a rate. */
+/**
+ * Returns the milliseconds between two writes of one instance that keep the fleet within a rate.
+ */
 export function writeSpacingMs(fleetWritesPerSecond: number, instances: number): number {
 	return (MS_PER_SECOND * Math.max(1, instances)) / fleetWritesPerSecond
 }
--- a/packages/core/src/core/config.ts
+++ b/packages/core/src/core/config.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' configuration: its schema, its defaults, and the rule by which a version replaces
- * another. The store holds one `VersionedConfig`; versions only rise.
+ * The operators' configuration: schema, defaults and versions. The store holds one
+ * `VersionedConfig`, whose version only increases.
  */
 import {ok, type Result} from "neverthrow"
 import {z} from "zod"
@@ -13,7 +13,7 @@
 })
 
 const endpointSchema = z.strictObject({
-	/** Limits the executors that serve this endpoint. */
+	/** Selects the executors that serve this endpoint. */
 	selector: selectorText.default(""),
 	/** Whether another failure domain may serve when the caller's own cannot. */
 	spill: z.boolean().default(true),
@@ -22,18 +22,18 @@
 
 const teamSchema = z.strictObject({
 	callers: z.array(z.string().min(1)).default([]),
-	/** The share of the fleet that the team gets when all teams are busy, relative to the others. */
+	/** The team's share of the fleet under contention, relative to the other teams. */
 	weight: z.number().positive().max(1_000).default(1),
-	/** Tasks and requests of the team that may run at once over the whole fleet. */
+	/** Tasks and requests of the team that may run at once in the whole fleet. */
 	maxRunning: z.int().positive().default(100_000),
-	/** Tasks and requests of the team that may wait over the whole fleet. */
+	/** Tasks and requests of the team that may be queued in the whole fleet. */
 	maxQueued: z.int().positive().default(100_000),
 })
 
 export const configSchema = z.strictObject({
 	endpoints: z.record(z.string().min(1), endpointSchema).default({}),
 	teams: z.record(z.string().min(1), teamSchema).default({}),
-	/** The team of a caller that no team names; null refuses such callers. */
+	/** The team of callers that no team lists; null refuses them. */
 	defaultTeam: z.string().nullable().default(null),
 	workers: z
 		.strictObject({
@@ -42,15 +42,15 @@
 			defaultDeadlineMs: z.int().positive().max(3_600_000).default(60_000),
 		})
 		.prefault({}),
-	/** Failure domains that operators are emptying: nothing further is sent to their targets. */
+	/** Failure domains under evacuation: nothing further is sent to their targets. */
 	evacuated: z.array(z.string().min(1)).default([]),
 	limits: z
 		.strictObject({
 			maxQueuedPerInstance: z.int().positive().default(20_000),
 			maxTasksPerJob: z.int().positive().max(720).default(720),
-			/** How long ids and answers are kept for a resubmission. */
+			/** How long ids and answers are kept for resubmissions. */
 			retentionMs: z.int().min(1_000).max(86_400_000).default(600_000),
-			/** Writes a second that all entry instances together may make to the store. */
+			/** Writes per second of all entry instances together. */
 			storeWritesPerSecond: z.number().positive().default(240),
 		})
 		.prefault({}),
@@ -59,13 +59,13 @@
 			/** Retries per first try, per team and pool. */
 			ratio: z.number().min(0).max(1).default(0.1),
 			maxPerTask: z.int().min(0).max(10).default(3),
-			/** Second tries of repeatable work that is late, from the same budget. */
+			/** Whether late repeatable work gets a second try, from the same budget. */
 			hedge: z.boolean().default(false),
 		})
 		.prefault({}),
 	health: z
 		.strictObject({
-			/** The largest share of a pool that is set aside at once. */
+			/** The largest share of a pool that may be set aside at once. */
 			maxAsideShare: z.number().min(0).max(0.9).default(0.3),
 			probeAfterMs: z.int().positive().default(5_000),
 		})
@@ -75,24 +75,24 @@
 export type Config = z.infer<typeof configSchema>
 
 export interface VersionedConfig {
-	/** Rises by one with each accepted change; 0 is never in force. */
+	/** Increases by one with each accepted change, from 1. */
 	readonly version: number
-	/** The writer's mark, by which it recognizes a change whose acceptance was lost. */
+	/** Identifies the write, so that its writer recognizes it after a lost answer. */
 	readonly nonce: string
 	readonly author: string
-	/** Wall-clock milliseconds of the acceptance. */
+	/** Wall-clock time of the acceptance, in milliseconds. */
 	readonly at: number
 	readonly config: Config
 }
 
-/** One line per issue of a schema check: path, what was expected, what was found. */
+/** Formats the issues of a schema check: the path and the message of each. */
 export function describeIssues(error: z.ZodError): string {
 	return error.issues
 		.map(issue => `${issue.path.map(String).join(".") || "(root)"}: ${issue.message}`)
 		.join("; ")
 }
 
-/** Checks a configuration and fills in defaults. */
+/** Validates a configuration and fills in defaults; fails with `config_invalid`. */
 export function parseConfig(value: unknown): Result<Config, DispatchError> {
 	const parsed = configSchema.safeParse(value)
 	if (!parsed.success) return fail("config_invalid", describeIssues(parsed.error))
@@ -103,7 +103,7 @@
 	return ok(parsed.data)
 }
 
-/** Says whether `next` may replace `current`: a configuration never reverts. */
+/** Returns whether `next` may replace `current`; versions never go back. */
 export function isNewer(next: VersionedConfig, current: VersionedConfig | undefined): boolean {
 	return current === undefined || next.version > current.version
 }
--- a/packages/core/src/core/estimates.ts
+++ b/packages/core/src/core/estimates.ts
@@ -1,5 +1,6 @@
 /**
- * Run times learned per kind of work from what was observed, since declared ones are far off.
+ * Estimates of run times per kind of work, learned from observed runs. Declared run times are
+ * unreliable.
  */
 
 const SMOOTHING = 0.1
@@ -15,7 +16,9 @@
 	observe(kind: string, runMs: number): void
 	/** The expected run time in milliseconds. */
 	expectedMs(kind: string): number
-	/** A run time that few runs of the kind exceed, in milliseconds; undefined before any run. */
+	/**
+	 * A run time that few runs of the kind exceed, in milliseconds; undefined before the first run.
+	 */
 	lateMs(kind: string): number | undefined
 }
 
--- a/packages/core/src/core/explain.ts
+++ b/packages/core/src/core/explain.ts
@@ -1,9 +1,9 @@
 /**
- * The decisions taken for each submission, in order and with cause, within bounded memory.
+ * A bounded in-memory log of the decisions taken for each submission, read by `explain`.
  */
 import type {SubmissionKey} from "../types/types-external.js"
 
-/** The closed list of steps that `explain` reports. */
+/** The steps that `explain` reports. */
 export type StepName =
 	| "received"
 	| "forwarded"
@@ -34,7 +34,7 @@
 const MAX_SUBMISSIONS = 5_000
 const MAX_STEPS = 60
 
-/** Keeps the steps of the newest submissions; of each, the first and the newest steps. */
+/** Keeps the newest submissions, and of each the first and the newest steps. */
 export function createExplainer(wallNow: () => number): Explainer {
 	const steps = new Map<SubmissionKey, Step[]>()
 	return {
--- a/packages/core/src/core/fair-queue.ts
+++ b/packages/core/src/core/fair-queue.ts
@@ -1,19 +1,20 @@
 /**
- * The waiting attempts of one instance: fair between teams by weight, by deadline within a team.
+ * The queue of attempts of one instance: weighted fair queuing between teams, earliest deadline
+ * first within a team.
  *
- * Attempts of the same shape (same needs and selector) wait in one heap. A shape that fits nowhere
- * now is passed over as a whole, so it blocks nobody else.
+ * Attempts of the same shape (same resources and selector) share a heap. A shape that fits on no
+ * target now is skipped as a whole, so it does not block the others.
  */
 import TinyQueue from "tinyqueue"
 
 export interface Queued {
 	readonly team: string
-	/** The targets among which it is placed. */
+	/** The pool of targets that may run the item. */
 	readonly pool: string
-	/** Attempts with the same shape fit on the same targets. */
+	/** Items of the same shape fit on the same targets. */
 	readonly shape: string
 	readonly deadlineAt: number
-	/** The work that the attempt is expected to take, in milliseconds. */
+	/** Expected run time in milliseconds. */
 	readonly costMs: number
 }
 
@@ -25,23 +26,23 @@
 interface TeamLine<T extends Queued> {
 	readonly heaps: Map<string, TinyQueue<T>>
 	size: number
-	/** Work served, divided by weight: the least goes first. */
+	/** Work served divided by weight; the team with the least goes first. */
 	virtualTime: number
 }
 
 export interface FairQueue<T extends Queued> {
 	push(item: T): void
 	/**
-	 * Takes items in order while `start` accepts them; `start` returns false for a shape that fits
-	 * nowhere now.
+	 * Removes the items that `start` accepts, in order. When `start` returns false, the item stays
+	 * and its shape is skipped.
 	 */
 	drain(start: (item: T) => boolean, weightOf: (team: string) => number): void
-	/** Removes and returns the items that match, for instance cancelled or expired ones. */
+	/** Removes and returns the matching items. */
 	remove(isRemoved: (item: T) => boolean): readonly T[]
 	size(): number
 	sizeOf(team: string): number
 	sizeIn(pool: string): number
-	/** The expected work that waits for a pool, in milliseconds. */
+	/** Expected run time of the items queued for a pool, in milliseconds. */
 	costMs(pool: string): number
 }
 
@@ -78,7 +79,7 @@
 		if (line.size === 0) lines.delete(team)
 	}
 
-	/** The earliest deadline among the team's shapes that are not blocked. */
+	/** Returns the heap with the earliest deadline among the shapes that are not blocked. */
 	function headOf(line: TeamLine<T>, blocked: ReadonlySet<string>): TinyQueue<T> | undefined {
 		let best: TinyQueue<T> | undefined
 		for (const [shape, heap] of line.heaps) {
--- a/packages/core/src/core/health.ts
+++ b/packages/core/src/core/health.ts
@@ -1,8 +1,9 @@
 /**
- * Targets that fail everything, or run far slower than their peers, are set aside and probed back.
+ * Outlier detection: targets that fail or run far slower than their peers are set aside, then
+ * probed until they recover. Used by the scheduler and by the placers of jobs.
  *
- * A target is judged against its peers for the same kind of work: a task that fails everywhere is
- * the task's fault and sets nobody aside. Only a set share of a pool is aside at once.
+ * A target is compared with its peers, so a task that fails everywhere sets no target aside. Only a
+ * configured share of a pool is aside at once.
  */
 
 const DECAY = 0.8
@@ -27,7 +28,7 @@
 export interface Observation {
 	readonly target: string
 	readonly failed: boolean
-	/** Run time over the kind's expected run time. */
+	/** Run time divided by the expected run time of its kind. */
 	readonly slowness: number
 }
 
@@ -40,12 +41,12 @@
 
 export interface Health {
 	observe(observation: Observation): void
-	/** Says whether work may be sent: healthy, or due for a probe. */
+	/** Returns whether work may be sent: the target is healthy or due for a probe. */
 	isUsable(target: string): boolean
 	isAside(target: string): boolean
-	/** Marks that the attempt just sent to a target set aside is its probe. */
+	/** Marks the attempt just sent as a probe if the target is set aside. */
 	beginProbe(target: string): void
-	/** Ends a probe that came to no verdict, so that another may follow. */
+	/** Ends a probe without a result, so that another may follow. */
 	endProbe(target: string): void
 	forget(target: string): void
 	asideCount(): number
@@ -71,7 +72,7 @@
 		return record
 	}
 
-	/** The share of failures among the other targets. */
+	/** Returns the failure share of the other targets; 1 while they have too few runs. */
 	function peerFailureShare(self: Record_): number {
 		let runs = 0
 		let failures = 0
--- a/packages/core/src/core/journal.ts
+++ b/packages/core/src/core/journal.ts
@@ -1,14 +1,14 @@
 /**
- * The journal of an owner's session: the record of what it may have started.
+ * The journal of a session: the durable record of the submissions that its owner may have started.
  *
- * A journal is a row of immutable values in the store, numbered from 0, each made by
+ * A journal is a sequence of immutable values in the store, numbered from 0, each written by
  * create-if-absent. The owner appends by creating the next number. A successor seals by creating
- * the same next number: whichever create the store takes first wins, so a paused or cut owner's
- * next append fails, and exclusion needs no clock. A create whose answer was lost is repeated with
- * the same content; the nonce in the value tells whether the first one took effect.
+ * the same number: the store accepts only one of the two, so the next append of a paused or
+ * partitioned owner fails, and exclusion needs no clock. A create whose answer was lost is repeated
+ * with the same content; the nonce in the value tells whether the first one took effect.
  *
- * All intents that arrive while a write is under way join the next write. Writes keep a minimum
- * spacing, which is how the fleet stays within the store's rates.
+ * Records that arrive during a write join the next one. A minimum spacing of writes keeps the fleet
+ * within the store's rate.
  */
 import {err, ok, type Result} from "neverthrow"
 import {DispatchError} from "../utils/errors.js"
@@ -16,14 +16,14 @@
 import type {Clock} from "../utils/clock.js"
 import type {JournalEntry, JournalRecord} from "../types/types-internal.js"
 
-/** How many numbers share a segment; a segment is trimmed by one call. */
+/** Entries per segment; a segment is trimmed by one call. */
 export const SEGMENT_LENGTH = 256
 const MAX_RECORDS_PER_ENTRY = 4_000
 const MAX_PENDING_RECORDS = 20_000
 const RETRY_BASE_MS = 20
 const RETRY_CAP_MS = 1_000
 
-/** What a create-if-absent came to. `unknown` means that no answer arrived. */
+/** The result of a create-if-absent; `unknown` when no answer arrived. */
 export type CreateResult =
 	| {readonly type: "created"}
 	| {readonly type: "exists"; readonly entry: JournalEntry}
@@ -33,26 +33,28 @@
 	readonly session: string
 	readonly create: (seq: number, entry: JournalEntry) => Promise<CreateResult>
 	readonly clock: Clock
-	/** Minimum milliseconds between two writes; a function, since the fleet's share changes. */
+	/** Minimum milliseconds between two writes; changes with the number of instances. */
 	readonly spacingMs: () => number
-	/** How long a lazy record may wait for a write that happens anyway. */
+	/** How long a lazily appended record may wait for another write, in milliseconds. */
 	readonly lazyMs: number
 	readonly random: () => number
 	readonly onSealed: () => void
-	/** Called after each attempt to write, with its milliseconds. */
+	/** Called after each attempt to write. */
 	readonly onWrite?: (result: CreateResult["type"], tookMs: number, records: number) => void
-	/** Test hook: with `false` a write without an answer is taken as done instead of read back. */
+	/** Test hook: with `false`, a write without an answer counts as done and is not repeated. */
 	readonly guards?: {readonly readBack: boolean}
 }
 
 export interface Journal {
-	/** Resolves once the record is durable; an error means that the journal is sealed or full. */
+	/**
+	 * Resolves once the record is durable; fails when the journal is sealed or its buffer is full.
+	 */
 	append(record: JournalRecord): Promise<Result<void, DispatchError>>
 	/** Adds a record to the next write without waiting for it. */
 	appendLazily(record: JournalRecord): void
 	/** Resolves once everything appended so far is durable or the journal is sealed. */
 	flush(): Promise<void>
-	/** Milliseconds for which the present write has had no definite answer; 0 when idle. */
+	/** Milliseconds for which the current write has had no definite answer; 0 when idle. */
 	stalledMs(): number
 	isSealed(): boolean
 }
@@ -98,7 +100,7 @@
 		deps.onSealed()
 	}
 
-	/** Repeats one create until the store's answer is definite. */
+	/** Repeats a create until the store's answer is definite. */
 	async function writeEntry(entry: JournalEntry, records: number): Promise<"durable" | "sealed"> {
 		for (let attempt = 0; ; attempt++) {
 			const startedAt = clock.now()
@@ -176,7 +178,7 @@
 }
 
 export interface SealDeps {
-	/** Lists the entries of a journal that the store holds, by ascending number. */
+	/** Returns the stored entries of a journal by ascending number; undefined without an answer. */
 	readonly list: (
 		session: string,
 	) => Promise<readonly {readonly seq: number; readonly entry: JournalEntry}[] | undefined>
@@ -188,8 +190,8 @@
 const MAX_SEAL_TRIES = 50
 
 /**
- * Seals the journal of another session and returns all of its records, or undefined when the store
- * gave no definite answer. Once this returns records, the sealed owner can never append again.
+ * Seals the journal of another session and returns all of its records. Once it returns, the sealed
+ * owner can never append again. Returns undefined when the store gave no definite answer.
  */
 export async function sealJournal(
 	session: string,
@@ -206,7 +208,7 @@
 		const result = await deps.create(session, seq, seal)
 		if (result.type === "unknown") return undefined
 		if (result.type === "created") return recordsOf(listed.map(item => item.entry))
-		// The owner or another successor was first: look at the new tail.
+		// The owner or another successor created this number first, so look at the new tail.
 	}
 	return undefined
 }
--- a/packages/core/src/core/outcomes.ts
+++ b/packages/core/src/core/outcomes.ts
@@ -1,14 +1,14 @@
 /**
- * Outcomes made from errors, and outcomes as the journal keeps them.
+ * Converts errors to outcomes, and outcomes to the form that the journal keeps.
  */
 import type {KeptOutcome} from "../types/types-internal.js"
 import type {Outcome, RunStatus} from "../types/types-external.js"
 import {DispatchError, ERROR_ANSWERS, isErrorKind, type ErrorKind} from "../utils/errors.js"
 
-/** An answer longer than this, in characters, is not kept in the journal. */
+/** Outcomes with a longer JSON text are not kept in the journal. */
 const MAX_KEPT_ANSWER = 4_096
 
-/** Turns an error into the outcome that carries its answer. */
+/** Converts an error to an outcome. */
 export function outcomeOf(error: DispatchError): Outcome {
 	return {
 		ok: false,
@@ -27,12 +27,12 @@
 	return outcomeOf(new DispatchError(kind, detail, extras))
 }
 
-/** Returns what the journal keeps of an outcome. */
+/** Returns an outcome as the journal keeps it. */
 export function keptOutcome(outcome: Outcome): KeptOutcome {
 	return JSON.stringify(outcome).length <= MAX_KEPT_ANSWER ? outcome : "too large"
 }
 
-/** Says whether another try with the same id may find more. */
+/** Returns whether a resubmission with the same id may get another outcome. */
 export function isRetryableWithSameId(outcome: Outcome): boolean {
 	return !outcome.ok && isErrorKind(outcome.kind) && ERROR_ANSWERS[outcome.kind].next === "same id"
 }
--- a/packages/core/src/core/owner.ts
+++ b/packages/core/src/core/owner.ts
@@ -1,11 +1,12 @@
 /**
- * The owner's side of a submission: what has been started, what was refused, what was answered.
+ * The owner of submissions: decides whether each is started, joined or refused, and keeps its
+ * outcome.
  *
  * The rules that keep a task from starting twice:
  * - work that is not repeatable starts only after its intent is durable in the journal;
- * - a key that is already known joins what is known of it and never starts again;
- * - a key whose intent stands in an inherited journal may have run, so it is never started here;
- * - a refusal that says `not run` closes the key, and is given only once the closing is durable.
+ * - a known key joins its entry and never starts again;
+ * - a key whose intent is in an inherited journal may have run, so it is never started here;
+ * - a refusal as `not run` closes the key, and is returned only once the closing is durable.
  */
 import type {Result} from "neverthrow"
 import type {Cancellation} from "../utils/cancellation.js"
@@ -21,7 +22,7 @@
 import {shardOf} from "./ownership.js"
 import {createSubmissionTable, finish, type Entry, type EntryState} from "./submission-table.js"
 
-/** Without a definite answer of the store for this long, new intents are refused at once. */
+/** After this long without a definite answer of the store, new intents are refused at once. */
 export const STALL_MS = 1_500
 const STORE_RETRY_MS = 2_000
 
@@ -30,29 +31,31 @@
 	readonly random: () => number
 	readonly isOwned: (shard: number) => boolean
 	readonly journal: () => Journal
-	/** Runs the work; called at most once for a key. */
+	/** Runs the work; called at most once per key. */
 	readonly execute: (submission: Submission, cancellation: Cancellation) => Promise<Outcome>
-	/** Refuses what cannot or should not be queued. */
+	/** Returns an error for a submission that must not be queued. */
 	readonly admit: (submission: Submission) => Result<void, DispatchError>
-	/** Asks a session that may still run an inherited submission for its outcome. */
+	/** Asks an earlier session for the outcome of an inherited submission; undefined when unknown. */
 	readonly askPastOwner: (session: SessionId, key: SubmissionKey) => Promise<Outcome | undefined>
 	readonly retentionMs: () => number
 	readonly explainer: Explainer
 	readonly count: (name: string) => void
-	/** Test hook: with `false` work starts before its intent is durable. */
+	/** Test hook: with `false`, work starts before its intent is durable. */
 	readonly guards?: {readonly intentFirst: boolean}
 }
 
 export interface Owner {
-	/** Answers one copy of a submission. */
+	/** Runs a submission, or joins the run of an earlier copy; resolves with the outcome. */
 	submit(submission: Submission): Promise<Outcome>
-	/** Returns what is known of a key: an outcome, a promise of one, or undefined. */
+	/** Returns the state and the promised outcome of a key; undefined when the key is unknown. */
 	find(
 		key: SubmissionKey,
 	): {readonly state: EntryState; readonly settled: Promise<Outcome>} | undefined
-	/** Stops a submission; resolves with its final outcome. */
+	/**
+	 * Cancels a submission; resolves with its outcome, or undefined when it is unknown or inherited.
+	 */
 	cancel(key: SubmissionKey): Promise<Outcome | undefined>
-	/** Takes over the records of a sealed or handed-over journal for the given shards. */
+	/** Adds the records of a sealed or handed-over journal for the given shards. */
 	inherit(session: SessionId, records: readonly JournalRecord[], shards: ReadonlySet<number>): void
 	/** Resolves when no submission runs. */
 	whenIdle(): Promise<void>
@@ -61,7 +64,7 @@
 }
 
 /**
- * Creates the owner's table.
+ * Creates the owner of one instance's submissions.
  *
  * @example const outcome = await owner.submit(submission)
  */
@@ -85,7 +88,7 @@
 		return failure("id_expired", "ids are kept for the retention time; use a new one")
 	}
 
-	/** Waits for an entry, but no longer than the store leaves its intent in doubt. */
+	/** Waits for the outcome of an entry, or until the write of its intent stalls. */
 	async function waitFor(entry: Entry): Promise<Outcome> {
 		entry.waiters++
 		try {
@@ -134,7 +137,7 @@
 		if (running === 0) for (const wake of idleWaiters.splice(0)) wake()
 	}
 
-	/** Closes a submission whose intent is durable and that will not be started. */
+	/** Closes a submission that is not started although its intent is durable. */
 	function closeUnstarted(submission: Submission, entry: Entry, kind: ErrorKind, detail: string) {
 		const {key} = submission.head
 		const outcome = failure(kind, detail, {ran: "not run"})
@@ -170,7 +173,7 @@
 		deps.count("joined")
 		explainer.add(key, "joined", `the submission is ${entry.state}`)
 		if (entry.state === "inherited") return resolveInherited(key, entry)
-		// Nothing has started, and no other session ever starts what this journal lists.
+		// Not started yet, and no other session starts a key whose intent is in this journal.
 		if (entry.state === "parked") void run(submission, entry)
 		return waitFor(entry)
 	}
--- a/packages/core/src/core/ownership.ts
+++ b/packages/core/src/core/ownership.ts
@@ -1,15 +1,15 @@
 /**
- * Who owns which shard of the submission keys.
+ * Ownership of the shards of submission keys.
  *
- * The ownership map is one value in the store, changed by compare-and-swap alone. A shard changes
- * hands in two ways: its owner gives it up (and has stopped using it before it says so), or a
- * successor takes it after sealing the owner's journal. `past` names the earlier sessions whose
- * journals a new owner must read before it serves the shard.
+ * The map is one value in the store, changed only by compare-and-swap. A shard changes hands in two
+ * ways: its owner stops using it and then releases it, or a successor claims it after sealing the
+ * owner's journal. `past` lists the earlier sessions whose journals a new owner must read before it
+ * serves the shard.
  */
 import {bucketOf, rendezvous} from "../utils/hash.js"
 import type {SessionId, SubmissionKey} from "../types/types-external.js"
 
-/** Fixed for the life of a store: the key's shard must never change. */
+/** Must not change during the life of a store, since it determines the shard of each key. */
 export const SHARD_COUNT = 64
 
 export interface PastOwner {
@@ -24,25 +24,25 @@
 }
 
 export interface OwnershipMap {
-	/** The last writer's mark, by which it recognizes a write whose answer was lost. */
+	/** Identifies the last write, so that its writer recognizes it after a lost answer. */
 	readonly nonce: string
 	readonly shards: readonly Shard[]
 }
 
 export interface OwnershipView {
 	readonly self: SessionId
-	/** Sessions that hold a lease and are not draining, without `self` when it drains. */
+	/** Sessions that hold a lease and do not drain. */
 	readonly eligible: readonly SessionId[]
 	/** All sessions that hold a lease. */
 	readonly live: ReadonlySet<SessionId>
 }
 
 export interface OwnershipPlan {
-	/** Shards to take, whose owners (if any) must be sealed first. */
+	/** Shards to claim, after the journals of their owners (if any) are sealed. */
 	readonly claims: readonly number[]
-	/** Sessions to seal before the claims. */
+	/** Sessions whose journals are sealed before the claims. */
 	readonly seals: readonly SessionId[]
-	/** Shards to give up, with the session that should have each. */
+	/** Shards to release, each with its next owner. */
 	readonly releases: readonly {readonly shard: number; readonly to: SessionId}[]
 }
 
@@ -55,7 +55,7 @@
 	return bucketOf(key, SHARD_COUNT)
 }
 
-/** Says what `self` should do so that the map moves towards the rendezvous assignment. */
+/** Returns the steps by which `self` moves the map towards the rendezvous assignment. */
 export function planOwnership(map: OwnershipMap, view: OwnershipView): OwnershipPlan {
 	const claims: number[] = []
 	const seals = new Set<SessionId>()
@@ -75,7 +75,9 @@
 	return {claims, seals: [...seals], releases}
 }
 
-/** Moves shards to new owners; drops past owners whose records have all expired. */
+/**
+ * Returns the map with shards moved to new owners, without past owners whose records have expired.
+ */
 export function moveShards(
 	map: OwnershipMap,
 	moves: readonly {readonly shard: number; readonly to: SessionId}[],
@@ -93,7 +95,7 @@
 	return {nonce, shards}
 }
 
-/** Sessions whose journals a new owner of these shards must read. */
+/** Returns the sessions whose journals a new owner of these shards must read. */
 export function pastSessions(map: OwnershipMap, shards: readonly number[]): readonly SessionId[] {
 	const sessions = shards.flatMap(index => map.shards[index]!.past.map(item => item.session))
 	return [...new Set(sessions)]
--- a/packages/core/src/core/run.ts
+++ b/packages/core/src/core/run.ts
@@ -1,8 +1,8 @@
 /**
- * The run of one submission: its tasks, their retries, and the one whole answer.
+ * Runs one submission: its tasks, their retries, and the combined outcome.
  *
- * Retries live here and nowhere else. What certainly did not start is placed again until the
- * deadline. What ran or may have run is tried again only if it is marked repeatable, from the
+ * Retries are made only here. An attempt that certainly did not start is placed again until the
+ * deadline. An attempt that ran or may have run is retried only if it is repeatable, from the
  * team's retry budget.
  */
 import {DispatchError, type ErrorKind} from "../utils/errors.js"
@@ -18,7 +18,7 @@
 const REPLACE_BASE_MS = 5
 const REPLACE_CAP_MS = 250
 
-/** One task before it becomes attempts. */
+/** The part of an attempt that is the same for every try of a task. */
 export type TaskPlan = Omit<
 	Attempt,
 	"id" | "avoid" | "isForwarded" | "key" | "task" | "team" | "deadlineAt"
@@ -67,7 +67,7 @@
 	return new Promise(resolve => deps.submit(attempt, resolve))
 }
 
-/** Runs an attempt, and a second one when it is late and hedging is on; the first answer counts. */
+/** Runs an attempt, and a second one when it is late and hedging is on; the first result counts. */
 async function runHedged(deps: RunDeps, run: TaskRun, attempt: Attempt): Promise<AttemptResult> {
 	const lateMs = deps.estimates.lateMs(attempt.kind)
 	const first = submitAttempt(deps, attempt)
@@ -137,7 +137,7 @@
 	return {ok: false, kind: error.kind, detail, ran: end.ran}
 }
 
-/** What is certain about a job of which one task ended badly: worse than that task if others ran. */
+/** Returns what is certain about a failed job: "not run" only when none of its tasks ran. */
 function jobRan(ends: readonly (TaskEnd | undefined)[]): RunStatus {
 	const seen = ends.map(end => (end === undefined ? "unknown" : end.ok ? "failed" : end.ran))
 	if (seen.every(ran => ran === "not run")) return "not run"
--- a/packages/core/src/core/scheduler/admission.ts
+++ b/packages/core/src/core/scheduler/admission.ts
@@ -1,6 +1,6 @@
 /**
- * The refusal of what cannot be queued now: a full queue, a team over its quota, or a deadline that
- * cannot be met. The time to come back grows with the queue and spreads the callers.
+ * Admission control: refuses attempts when the queue is full, the team is at its quota or the
+ * deadline cannot be met. The retry-after time grows with the queue and has jitter.
  */
 import {ok, type Result} from "neverthrow"
 import {addJitterMs} from "../../utils/backoff.js"
@@ -8,7 +8,7 @@
 import {fail, type DispatchError} from "../../utils/errors.js"
 import type {Estimates} from "../estimates.js"
 
-/** What is asked before a submission is queued. */
+/** The attempts that a submission would queue. */
 export interface AdmissionQuery {
 	readonly pool: string
 	readonly team: string
@@ -17,13 +17,13 @@
 	readonly kind: string
 }
 
-/** What waits and runs here now. */
+/** The current load of this instance. */
 export interface Backlog {
 	readonly total: number
 	readonly inPool: number
-	/** Of the team: waiting and running. */
+	/** Queued and running attempts of the team. */
 	readonly ofTeam: number
-	/** Milliseconds for which a new attempt would wait. */
+	/** Expected wait of a new attempt, in milliseconds. */
 	readonly waitMs: number
 }
 
@@ -42,7 +42,7 @@
 	return addJitterMs(Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, waitMs)), random)
 }
 
-/** Says whether attempts of a team could be queued now and end in time. */
+/** Returns an error with a retry-after time when the attempts must not be queued. */
 export function admitTo(
 	query: AdmissionQuery,
 	deps: AdmissionDeps,
@@ -55,7 +55,7 @@
 		detail: string,
 	) => fail(reason, detail, {retryAfterMs: retryAfterMs(waitMs, deps.random)})
 	if (total + attempts > deps.maxQueuedTotal()) {
-		return refuse("overloaded", `${total} attempts wait here`)
+		return refuse("overloaded", `${total} attempts are queued here`)
 	}
 	if (ofTeam + attempts > deps.maxQueued(team)) {
 		return refuse("quota_exceeded", `team ${team} has ${ofTeam} attempts here`)
--- a/packages/core/src/core/scheduler/attempt.ts
+++ b/packages/core/src/core/scheduler/attempt.ts
@@ -1,11 +1,11 @@
 /**
- * Attempts: one try of one task each, and what they come to.
+ * An attempt, which is one try of one task, and its result.
  */
 import type {Resources, SubmissionKey, Target} from "../../types/types-external.js"
 import type {Queued} from "../fair-queue.js"
 import type {Selector} from "../selector.js"
 
-/** The pool of all workers; the pools of endpoints carry their names. */
+/** The pool of all workers; each endpoint has a pool of its own. */
 export const WORKER_POOL = "workers"
 
 export function endpointPool(endpoint: string): string {
@@ -30,18 +30,21 @@
 	readonly avoid: readonly string[]
 	readonly spreadRacks: boolean
 	readonly mayRetry: boolean
-	/** From a peer: it is never forwarded again, and given back when it cannot be placed soon. */
+	/**
+	 * The attempt came from a peer: it is not forwarded again, and returned when it is not placed
+	 * soon.
+	 */
 	readonly isForwarded: boolean
 	readonly mayLeaveDomain: boolean
 }
 
 export type AttemptResult =
 	| {readonly type: "ok"; readonly value: unknown; readonly runMs: number}
-	/** It ran and failed. */
+	/** The attempt ran and failed. */
 	| {readonly type: "failed"; readonly detail: string; readonly target?: string}
-	/** Certain: it did not start. */
+	/** The attempt certainly did not start. */
 	| {readonly type: "not started"; readonly reason: NotStartedReason; readonly detail: string}
-	/** It may have run. */
+	/** The attempt may have run. */
 	| {readonly type: "unknown"; readonly detail: string; readonly target?: string}
 
 export type NotStartedReason =
--- a/packages/core/src/core/scheduler/peer-rooms.ts
+++ b/packages/core/src/core/scheduler/peer-rooms.ts
@@ -1,17 +1,20 @@
 /**
- * The room that peers reported, less what was sent to them since.
+ * The room of peers: what they reported last, less what was sent to them since.
  */
 import type {Attempt} from "./attempt.js"
 
 export interface PeerRoom {
 	readonly id: string
 	readonly isSameDomain: boolean
-	/** Processors (slots) that the peer can give in a pool now. */
+	/** Free processors (slots) by pool. */
 	readonly free: ReadonlyMap<string, number>
 }
 
 export interface PeerRooms {
-	/** The peer with most room for an attempt, own failure domain first. */
+	/**
+	 * Returns the peer with most room for an attempt, the own failure domain first; undefined when
+	 * none has room.
+	 */
 	pick(attempt: Attempt): string | undefined
 	/** Counts an attempt against the room of a peer until the peer reports again. */
 	noteSent(peer: string, attempt: Attempt): void
--- a/packages/core/src/core/scheduler/running-set.ts
+++ b/packages/core/src/core/scheduler/running-set.ts
@@ -1,11 +1,11 @@
 /**
- * The attempts that are on their way or running: by id, by team and by submission.
+ * The attempts that were sent and have no result yet, by id, team and submission.
  */
 import type {SubmissionKey} from "../../types/types-external.js"
 import type {Attempt, AttemptResult} from "./attempt.js"
 import {occupy, vacate, type TargetState} from "./target-state.js"
 
-/** A peer's name, or a target placed here. */
+/** Where an attempt was sent: the id of a peer, or a target of this instance. */
 export type Place = TargetState | string
 
 export interface Running {
@@ -21,12 +21,12 @@
 
 export interface RunningSet {
 	add(item: Running): void
-	/** Removes and returns an attempt; undefined when it is not here any more. */
+	/** Removes and returns an attempt; undefined when the id is unknown. */
 	take(id: string): Running | undefined
 	size(): number
 	sizeOf(team: string): number
 	ofKey(key: SubmissionKey): readonly Running[]
-	/** How many attempts of a submission run in each rack. */
+	/** Running attempts of a submission by rack. */
 	racksOf(key: SubmissionKey): ReadonlyMap<string, number>
 }
 
--- a/packages/core/src/core/scheduler/scheduler.ts
+++ b/packages/core/src/core/scheduler/scheduler.ts
@@ -1,10 +1,9 @@
 /**
- * The placement of attempts on the targets that this instance places.
+ * Places attempts on the targets of this instance.
  *
- * Each executor and worker is placed by exactly one instance of its failure domain, so its load is
- * known here exactly and nothing is sent to a full target knowingly. What does not fit here is
- * forwarded to a peer that reported room, own failure domain first; the rest waits in the fair
- * queue.
+ * Each target is placed by exactly one instance of its failure domain, so its load is known exactly
+ * and nothing is sent to a full target. Attempts that do not fit are forwarded to a peer with room,
+ * own failure domain first; the others wait in the fair queue.
  */
 import type {Result} from "neverthrow"
 import type {Clock} from "../../utils/clock.js"
@@ -42,19 +41,19 @@
 export interface Scheduler {
 	/** Replaces the targets that this instance places. */
 	setTargets(targets: readonly Target[]): void
-	/** Says whether attempts of a team could be queued now and end in time. */
+	/** Returns an error when the attempts must not be queued now. */
 	admit(query: AdmissionQuery): Result<void, DispatchError>
 	/** Queues an attempt; `done` is called once, with its result. */
 	submit(attempt: Attempt, done: (result: AttemptResult) => void): void
 	settle(id: string, result: AttemptResult): void
-	/** Gives up all attempts of a key: queued ones at once, running ones by a stop to their place. */
+	/** Cancels all attempts of a key: removes queued ones, and sends a stop for running ones. */
 	cancel(key: SubmissionKey): void
-	/** Processors (slots) that peers may use here: what is free less what waits here already. */
+	/** Free processors (slots) for peers: free capacity less what is queued here. */
 	roomIn(pool: string): number
 	rooms(): ReadonlyMap<string, number>
-	/** Takes in that a peer reported its room; what was sent before it is counted in it. */
+	/** Handles a peer's report of its room, which includes all attempts sent before it. */
 	onPeerRoomReport(peer: string, pool?: string): void
-	/** Looks for work to place. */
+	/** Places the queued attempts that fit now. */
 	placeQueued(): void
 	snapshot(): SchedulerSnapshot
 }
@@ -68,26 +67,26 @@
 interface Waiting extends Attempt {
 	readonly done: (result: AttemptResult) => void
 	readonly queuedAt: number
-	/** When an attempt that could not be placed is given up, or given back to the peer. */
+	/** When an unplaced attempt expires, or is returned to the peer. */
 	readonly waitsUntil: number
 }
 
 const BUSY_BLOCK_MS = 25
 const EXPIRY_SWEEP_MS = 50
-/** A wait that a forwarded message would not shorten by much, in milliseconds. */
+/** Shorter waits are not worth a message to a peer. */
 const FORWARD_AFTER_MS = 10
-/** How long an attempt from a peer waits here before it is given back, in milliseconds. */
+/** How long an attempt from a peer waits before it is returned. */
 const FORWARDED_PATIENCE_MS = 500
 const LEAVING_MEMORY_MS = 30_000
 
-/** Collects what goes to one place, so that it goes as one batch. */
+/** Adds an attempt to the batch of its destination. */
 function addToBatch<K>(batches: Map<K, Attempt[]>, place: K, attempt: Attempt) {
 	const batch = batches.get(place)
 	if (batch) batch.push(attempt)
 	else batches.set(place, [attempt])
 }
 
-/** Creates the placement of one instance. */
+/** Creates the scheduler of one instance. */
 export function createScheduler(deps: SchedulerDeps): Scheduler {
 	const {clock, estimates} = deps
 	const {now} = clock
@@ -95,12 +94,12 @@
 	const queue = createFairQueue<Waiting>()
 	const running = createRunningSet()
 	const rooms = createPeerRooms(deps.peers)
-	/** Attempts that were told to stop; how they end says nothing about their target. */
+	/** Attempts that were sent a stop; their results do not count for the health of their targets. */
 	const stopping = new Set<string>()
 	let isPumpDue = false
 	let isSweepDue = false
 
-	/** Says whether an attempt has waited, or will wait, longer than a message to a peer is worth. */
+	/** Returns whether an attempt waits long enough to be forwarded. */
 	function isWorthForwarding({pool, queuedAt}: Waiting): boolean {
 		if (now() - queuedAt > FORWARD_AFTER_MS) return true
 		const capacity = pools.usableCapacityOf(pool)
@@ -115,7 +114,7 @@
 		return rooms.pick(attempt)
 	}
 
-	/** Places queued attempts, and sends what goes to one place as one batch. */
+	/** Places queued attempts and sends one batch to each destination. */
 	function pumpNow() {
 		isPumpDue = false
 		const toTargets = new Map<TargetState, Attempt[]>()
@@ -169,7 +168,7 @@
 		scheduleSweep()
 	}
 
-	/** Learns from a refusal: the target is blocked for a moment, or leaves. */
+	/** Blocks a target for a moment after a refusal, or treats it as leaving. */
 	function observeRefusal(state: TargetState, pool: string, reason: string) {
 		const health = pools.healthOf(pool)
 		health.endProbe(state.target.id)
@@ -194,7 +193,10 @@
 		return Math.max(0, pools.freeIn(pool) - queue.sizeIn(pool))
 	}
 
-	/** Milliseconds for which a new attempt would wait, by what waits and what could run it. */
+	/**
+	 * Returns the expected wait of a new attempt: queued work divided by usable capacity, in
+	 * milliseconds.
+	 */
 	function expectedWaitMs(pool: string): number {
 		let capacity = pools.usableCapacityOf(pool)
 		for (const peer of deps.peers()) capacity += peer.free.get(pool) ?? 0
--- a/packages/core/src/core/scheduler/target-pools.ts
+++ b/packages/core/src/core/scheduler/target-pools.ts
@@ -1,5 +1,5 @@
 /**
- * The targets that this instance places, by pool, with the health of each pool.
+ * The targets of this instance by pool, with the health of each pool.
  */
 import type {Target} from "../../types/types-external.js"
 import {createHealth, type Health, type HealthDeps} from "../health.js"
@@ -14,11 +14,14 @@
 } from "./target-state.js"
 
 export interface TargetPools {
-	/** Replaces the targets; those that stay keep what runs on them. */
+	/** Replaces the targets; those that stay keep their state. */
 	set(targets: readonly Target[]): void
-	/** The cheapest target that is open for an attempt. */
+	/**
+	 * Returns the target with the least cost that may take an attempt now; undefined when there is
+	 * none.
+	 */
 	pick(attempt: Attempt, racks: ReadonlyMap<string, number>): TargetState | undefined
-	/** Says whether any target here could run an attempt when it is idle. */
+	/** Returns whether any target could run an attempt when idle. */
 	couldRun(attempt: Attempt): boolean
 	healthOf(pool: string): Health
 	/** Free processors (slots) of the usable targets of a pool. */
@@ -63,7 +66,7 @@
 		else states.set(target.id, newTargetState(target))
 	}
 
-	/** Adds up over the targets that are neither leaving nor set aside. */
+	/** Sums a value over the targets that are neither leaving nor set aside. */
 	function sumUsable(pool: string, valueOf: (state: TargetState) => number): number {
 		const health = healthOf(pool)
 		const now = deps.now()
@@ -96,7 +99,7 @@
 				if (!isOpen(state, attempt, health, now)) continue
 				const cost = costOf(state, attempt, racks)
 				if (cost > bestCost) continue
-				// Ties are broken evenly, in one pass: the n-th tie wins with chance 1/n.
+				// Breaks ties evenly in one pass: the n-th tie wins with probability 1/n.
 				ties = cost === bestCost ? ties + 1 : 1
 				if (ties > 1 && deps.random() * ties >= 1) continue
 				best = state
--- a/packages/core/src/core/scheduler/target-state.ts
+++ b/packages/core/src/core/scheduler/target-state.ts
@@ -1,6 +1,5 @@
 /**
- * What this instance knows of a target that it places: how much of it is in use, and whether it may
- * take work now.
+ * The state of a target: its used capacity, and whether it may take work now.
  */
 import type {Resources, Target} from "../../types/types-external.js"
 import type {Health} from "../health.js"
@@ -11,9 +10,9 @@
 	target: Target
 	readonly used: {cpu: number; memoryMb: number; accelerators: number}
 	running: number
-	/** Nothing is sent before this time, after a target said that it is busy. */
+	/** Nothing is sent before this time, after a refusal as busy. */
 	blockedUntil: number
-	/** Until then the target's own word that it leaves holds, whatever the list says. */
+	/** Until this time the target counts as leaving, whatever the list says. */
 	leavingUntil: number
 }
 
@@ -54,7 +53,7 @@
 	)
 }
 
-/** Says whether an idle target has what a task needs. */
+/** Returns whether an idle target has the resources that a task needs. */
 export function isLargeEnough({capacity}: Target, need: Resources): boolean {
 	return (
 		need.cpu <= capacity.cpu &&
@@ -63,12 +62,12 @@
 	)
 }
 
-/** Says whether a target could run an attempt when it is idle. */
+/** Returns whether a target could run an attempt when idle. */
 export function isFitting({target}: TargetState, {need, selector}: Attempt): boolean {
 	return isLargeEnough(target, need) && isMatch(selector, target.labels)
 }
 
-/** Says whether an attempt may be sent to a target now. */
+/** Returns whether an attempt may be sent to a target now. */
 export function isOpen(state: TargetState, attempt: Attempt, health: Health, now: number): boolean {
 	const {target} = state
 	if (!hasRoom(state, attempt.need)) return false
@@ -79,7 +78,10 @@
 	return health.isUsable(target.id)
 }
 
-/** Lower is better: load, then earlier tries, the preference, and the job's own spread. */
+/**
+ * Returns the cost of a placement, lower is better: the load, penalties for accelerators, earlier
+ * tries and shared racks, and a bonus for preferred targets.
+ */
 export function costOf(
 	{target, used}: TargetState,
 	attempt: Attempt,
--- a/packages/core/src/core/selector.ts
+++ b/packages/core/src/core/selector.ts
@@ -115,7 +115,7 @@
 	}
 }
 
-/** Says whether the labels satisfy every requirement. */
+/** Returns whether the labels satisfy every requirement. */
 export function isMatch(selector: Selector, labels: Labels): boolean {
 	return selector.every(requirement => holds(requirement, labels))
 }
--- a/packages/core/src/core/submission-table.ts
+++ b/packages/core/src/core/submission-table.ts
@@ -1,40 +1,40 @@
 /**
- * The submissions that an owner knows, for as long as their ids are kept.
+ * The table of the submissions that an owner knows, kept until their retention time ends.
  */
 import type {Outcome, SessionId, SubmissionKey} from "../types/types-external.js"
 import {createCancellation, type CancellationSource} from "../utils/cancellation.js"
 
-/** `parked`: the intent is durable, nobody waited any more, and nothing has started. */
+/** `parked`: the intent is durable, but no caller waits and nothing has started. */
 export type EntryState = "pending" | "parked" | "running" | "done" | "closed" | "inherited"
 
 export interface Entry {
-	/** Empty when only an answer was inherited. */
+	/** Empty when only the outcome was inherited. */
 	readonly digest: string
-	/** Monotonic milliseconds at which the key became known here. */
+	/** When the entry was added, in milliseconds on the monotonic clock. */
 	readonly at: number
 	readonly cancellation: CancellationSource
 	state: EntryState
-	/** Copies of the submission that still wait for an answer. */
+	/** Calls that wait for the outcome. */
 	waiters: number
 	outcome?: Outcome
 	readonly settled: Promise<Outcome>
 	readonly settle: (outcome: Outcome) => void
-	/** The session whose journal listed the intent. */
+	/** The session whose journal had the intent. */
 	past?: SessionId
 }
 
 export interface SubmissionTable {
 	get(key: SubmissionKey): Entry | undefined
 	add(key: SubmissionKey, digest: string, state: EntryState): Entry
-	/** Forgets a key whose record certainly did not reach the journal. */
+	/** Removes a key whose record is certainly not in the journal, and settles its entry. */
 	drop(key: SubmissionKey, entry: Entry, outcome: Outcome): void
-	/** Forgets the keys that are older than the retention time. */
+	/** Removes the keys that are older than the retention time. */
 	evict(retentionMs: number): void
 	size(): number
 	newest(limit: number): readonly {readonly key: SubmissionKey; readonly state: EntryState}[]
 }
 
-/** Gives an entry its final state and wakes the copies that wait for it. */
+/** Sets the final state of an entry and settles its promise. */
 export function finish(entry: Entry, state: EntryState, outcome: Outcome) {
 	entry.state = state
 	entry.outcome = outcome
@@ -42,7 +42,7 @@
 }
 
 export function createSubmissionTable(now: () => number): SubmissionTable {
-	/** By age, since a map keeps the order of insertion. */
+	/** In order of age, since a map keeps the order of insertion. */
 	const entries = new Map<SubmissionKey, Entry>()
 	return {
 		get: key => entries.get(key),
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The public surface of the core: decisions and protocol state, without I/O.
+ * Public API of the core: decisions and protocol state, without I/O.
  */
 export * from "./types/types-external.js"
 export type * from "./types/store.js"
--- a/packages/core/src/types/store.ts
+++ b/packages/core/src/types/store.ts
@@ -1,8 +1,8 @@
 /**
- * The key-value service that the platform runs, as the product uses it: single keys with revisions,
- * compare-and-swap, leases, and a waiting watch. Every client of a real store implements this.
+ * The key-value store as the dispatcher uses it: keys with revisions, compare-and-swap, leases and
+ * long-polling watches. Every client of a real store implements this interface.
  *
- * An answer that does not arrive is reported as unknown, never guessed.
+ * A call without an answer is reported as unknown.
  */
 
 export interface StoreItem {
@@ -19,20 +19,20 @@
 
 export interface StoreListing {
 	readonly items: readonly StoreItem[]
-	/** Changes after this one may be missing from the items. */
+	/** Changes after this revision may be missing from the items. */
 	readonly revision: number
-	/** Keys whose bytes cannot be read: somebody else wrote them, and they name nothing. */
+	/** Keys whose values cannot be decoded. */
 	readonly unreadable?: readonly string[]
 }
 
-/** What came after a revision. A reader takes the items in their order, then drops what is deleted. */
+/** Changes after a revision. A reader applies the items in order, then removes the deleted keys. */
 export interface StoreChange {
-	/** The writes, oldest first: a key that was written twice may be there twice. */
+	/** Writes, oldest first; a key may occur more than once. */
 	readonly items: readonly StoreItem[]
-	/** Keys that are gone in the end, and those whose bytes cannot be read any more. */
+	/** Keys that no longer exist, or whose last value cannot be decoded. */
 	readonly deleted: readonly string[]
 	readonly revision: number
-	/** Those of the deleted keys that are there, with bytes that cannot be read. */
+	/** The deleted keys that exist with a value that cannot be decoded. */
 	readonly unreadable?: readonly string[]
 }
 
@@ -43,7 +43,7 @@
 }
 
 export interface Store {
-	/** `undefined` means no answer; `null` means that the key is absent. */
+	/** Resolves with `null` when the key is absent, and with `undefined` without an answer. */
 	get(key: string): Promise<StoreItem | null | undefined>
 	list(prefix: string): Promise<StoreListing | undefined>
 	put(key: string, value: unknown, options?: PutOptions): Promise<PutResult>
@@ -51,19 +51,22 @@
 	grantLease(ttlMs: number): Promise<string | undefined>
 	keepAlive(lease: string): Promise<"alive" | "gone" | "unknown">
 	revoke(lease: string): Promise<void>
-	/** Waits for changes under a prefix; `undefined` means no answer, or that the signal ended the wait. */
+	/**
+	 * Waits for changes under a prefix; `undefined` without an answer, or when the signal ends the
+	 * wait.
+	 */
 	watch(
 		prefix: string,
 		after: number,
 		waitMs: number,
 		signal?: AbortSignal,
 	): Promise<StoreChange | undefined>
-	/** Milliseconds for which every call has gone unanswered; 0 when the last one was answered. */
+	/** Milliseconds for which no call has been answered; 0 when the last one was. */
 	silentMs(): number
 	close(): Promise<void>
 }
 
-/** A write of several keys that is done whole or not at all. */
+/** An atomic write of several keys. */
 export interface Transaction {
 	/** The revisions that the keys must have; 0 for an absent key. */
 	readonly expect: readonly {readonly key: string; readonly revision: number}[]
@@ -73,14 +76,14 @@
 
 export type TransactionResult =
 	| {readonly type: "done"; readonly revision: number}
-	/** Nothing was done; `current` holds those of the expected keys that exist. */
+	/** Nothing was written; `current` holds those of the expected keys that exist. */
 	| {readonly type: "conflict"; readonly current: readonly StoreItem[]}
-	/** The store said that it did nothing. */
+	/** The store refused the write and wrote nothing. */
 	| {readonly type: "refused"}
-	/** It may have been done, or may be done seconds later if its conditions still hold. */
+	/** The write may have been done, or may be done seconds later if its conditions still hold. */
 	| {readonly type: "unknown"}
 
-/** A store that writes several keys at once. */
+/** A store with atomic writes of several keys. */
 export interface TransactionalStore extends Store {
 	transact(transaction: Transaction): Promise<TransactionResult>
 }
--- a/packages/core/src/types/types-external.ts
+++ b/packages/core/src/types/types-external.ts
@@ -1,14 +1,14 @@
 /**
- * The public data types: what callers, operators and the entry instance hand to the core.
+ * Public data types of the core: submissions, outcomes and targets.
  */
 
-/** What is certain about the work of a submission. */
+/** What is certain about whether the work of a submission ran. */
 export type RunStatus = "not run" | "unknown" | "failed" | "run"
 
-/** Names a submission: the caller and the id that it chose, joined by `submissionKey`. */
+/** Identifies a submission: its caller and id, joined by `submissionKey`. */
 export type SubmissionKey = string
 
-/** One process of the entry role during one registration with the store. */
+/** Identifies one registration of an entry instance with the store. */
 export type SessionId = string
 
 /** Processor cores, memory in MiB, accelerators. */
@@ -24,7 +24,7 @@
 	readonly key: SubmissionKey
 	readonly digest: string
 	readonly team: string
-	/** Monotonic milliseconds on this instance. */
+	/** In milliseconds on the monotonic clock of this instance. */
 	readonly deadlineAt: number
 	readonly repeatable: boolean
 }
@@ -35,7 +35,7 @@
 }
 
 export interface TaskBody {
-	/** Names the program; run times are learned per kind. */
+	/** The program to run; run times are learned per kind. */
 	readonly kind: string
 	readonly payload: unknown
 	readonly resources: Resources
@@ -54,7 +54,7 @@
 	| {readonly head: SubmissionHead; readonly type: "request"; readonly request: RequestBody}
 	| {readonly head: SubmissionHead; readonly type: "job"; readonly job: JobBody}
 
-/** The answer to a submission: complete, or an error; never a part. */
+/** The outcome of a submission: its whole value or an error, never a partial result. */
 export type Outcome =
 	| {readonly ok: true; readonly value: unknown}
 	| {
@@ -65,7 +65,7 @@
 			readonly retryAfterMs?: number
 	  }
 
-/** A place that runs work: an executor of an endpoint, or a worker. */
+/** An executor of an endpoint, or a worker. */
 export interface Target {
 	readonly id: string
 	readonly type: "executor" | "worker"
--- a/packages/core/src/types/types-internal.ts
+++ b/packages/core/src/types/types-internal.ts
@@ -1,22 +1,21 @@
 /**
- * Types that the parts of the core share and that are not part of the public surface.
+ * The records of a journal, and the form in which the store holds them.
  */
 import type {Outcome, SubmissionKey} from "./types-external.js"
 
-/** An answer small enough to be kept in the journal, or only the mark that there was one. */
+/** An outcome as the journal keeps it, or the mark that it was too large to be kept. */
 export type KeptOutcome = Outcome | "too large"
 
-/** One record of a journal. */
 export type JournalRecord =
 	| {readonly type: "intent"; readonly key: SubmissionKey; readonly digest: string}
 	| {readonly type: "closed"; readonly key: SubmissionKey; readonly outcome: Outcome}
 	| {readonly type: "done"; readonly key: SubmissionKey; readonly outcome: KeptOutcome}
 
-/** One value of a journal in the store: a batch of records, or the seal that ends it. */
+/** One stored value of a journal: a batch of records, or the seal that ends it. */
 export type JournalEntry =
 	| {
 			readonly nonce: string
-			/** Wall-clock milliseconds of the writer; used only to trim. */
+			/** Wall-clock milliseconds of the writer; used only for trimming. */
 			readonly at: number
 			readonly records: readonly JournalRecord[]
 	  }
--- a/packages/core/src/utils/backoff.ts
+++ b/packages/core/src/utils/backoff.ts
@@ -1,9 +1,9 @@
 /**
- * Waiting times between tries.
+ * Delays between tries.
  */
 
 /**
- * Returns a full-jitter exponential delay in milliseconds.
+ * Returns an exponential delay with equal jitter, in milliseconds.
  *
  * @example await clock.sleep(backoff(attempt, 20, 1000, random))
  */
@@ -17,7 +17,7 @@
 	return ceiling * (0.5 + random() / 2)
 }
 
-/** Spreads a waiting time over [ms, 2 ms), so that refused callers do not come back together. */
+/** Returns a random delay in [ms, 2 ms), so that refused callers do not retry at the same time. */
 export function addJitterMs(ms: number, random: () => number): number {
 	return Math.round(ms * (1 + random()))
 }
--- a/packages/core/src/utils/cancellation.ts
+++ b/packages/core/src/utils/cancellation.ts
@@ -1,11 +1,11 @@
 /**
- * A one-way switch that stops a submission. Plain in place of AbortController, whose signals cost
- * more than the rest of a short request's bookkeeping.
+ * A cancellation token for submissions. AbortController is not used, since its signals cost more
+ * than the rest of a short request's bookkeeping.
  */
 
 export interface Cancellation {
 	isCancelled(): boolean
-	/** Calls back at the cancellation; returns the function that takes the callback off. */
+	/** Registers a callback for the cancellation; returns the function that removes it. */
 	onCancel(callback: () => void): () => void
 }
 
@@ -13,7 +13,6 @@
 	cancel(): void
 }
 
-/** Never cancelled. */
 export const NOT_CANCELLED: Cancellation = Object.freeze({
 	isCancelled: () => false,
 	onCancel: () => () => undefined,
--- a/packages/core/src/utils/clock.ts
+++ b/packages/core/src/utils/clock.ts
@@ -1,28 +1,29 @@
 /**
- * The clock that the core is given, and the real one.
+ * The clock interface of the core, and the clock of the process.
  */
 import {createSuspensionCount, type SuspensionCount} from "./suspension-count.js"
 
 export interface Clock {
-	/** Monotonic milliseconds. */
+	/** Milliseconds on the monotonic clock. */
 	now(): number
 	/** Wall-clock milliseconds since 1970; never used to decide who may start work. */
 	wallNow(): number
 	sleep(ms: number): Promise<void>
-	/** Calls back once after `ms`; returns the function that cancels it. */
+	/** Runs a callback once after `ms`; returns the function that cancels it. */
 	schedule(ms: number, callback: () => void): () => void
 }
 
-/** The clock of the process; it counts the time for which the machine was suspended, once it has a clock that shows it. */
+/** The clock of the process, which includes suspensions of the machine after `countSuspensions`. */
 export interface SystemClock extends Clock {
 	/**
-	 * From now on the time of suspensions counts, by a clock that goes on meanwhile: milliseconds since the machine began.
-	 * `onSuspension` hears of each, in milliseconds.
+	 * Includes the time of suspensions from now on. `sinceBoot` reads a clock that goes on during
+	 * suspensions, in milliseconds since boot; `onSuspension` gets the length of each suspension in
+	 * milliseconds.
 	 */
 	countSuspensions(sinceBoot: () => number, onSuspension: (ms: number) => void): void
 }
 
-/** A timer that is due by this clock, whatever the runtime's own has counted. */
+/** A timer on this clock, which may be due before the runtime's own timer fires. */
 interface Timer {
 	readonly dueAt: number
 	readonly fire: () => void
@@ -38,11 +39,11 @@
 		return count ? steady + count.suspendedMs(steady) : steady
 	}
 
-	/** The runtime's timers stand still during a suspension; what fell due meanwhile fires as after a standstill. */
+	/** Fires the timers that fell due during a suspension, while the runtime's timers stood still. */
 	function fireDue() {
 		const at = now()
 		const due = [...timers].filter(({dueAt}) => dueAt <= at)
-		// One that fires may cancel another that is due as well.
+		// A callback may cancel another timer that is due.
 		for (const timer of due.sort((a, b) => a.dueAt - b.dueAt)) if (timers.has(timer)) timer.fire()
 	}
 
--- a/packages/core/src/utils/errors.ts
+++ b/packages/core/src/utils/errors.ts
@@ -1,20 +1,21 @@
 /**
- * The closed list of error kinds and the one table from a kind to its answer.
- *
- * Every refusal, failure and stop of the product carries one of these kinds. The table fixes, for
- * each kind, the HTTP status, what is certain about the work (`ran`), and what the caller should do
- * next. Nothing else in the product chooses a status code.
+ * The error kinds. Each has an HTTP status, what is certain about the work (`ran`), and what the
+ * caller should do next. Entry instances take the status codes of their error answers only from
+ * here.
  */
 import {err, type Result} from "neverthrow"
 import type {RunStatus} from "../types/types-external.js"
 
-/** What a caller may do after an answer of a kind. */
+/**
+ * What a caller may do after an error: resubmit with the same or a new id, change the request, or
+ * nothing.
+ */
 export type NextStep = "same id" | "new id" | "change" | "none"
 
 export interface ErrorAnswer {
 	/** HTTP status code. */
 	readonly status: number
-	/** What is certain about the work, unless the error itself says more. */
+	/** What is certain about the work, unless the error overrides it. */
 	readonly ran: RunStatus
 	readonly next: NextStep
 	readonly title: string
@@ -23,7 +24,6 @@
 const answer = (status: number, ran: RunStatus, next: NextStep, title: string): ErrorAnswer =>
 	Object.freeze({status, ran, next, title})
 
-/** The table from kind to answer. */
 export const ERROR_ANSWERS = Object.freeze({
 	not_json: answer(400, "not run", "change", "The body is not JSON"),
 	invalid_request: answer(400, "not run", "change", "The request does not match its schema"),
@@ -66,13 +66,13 @@
 export type ErrorKind = keyof typeof ERROR_ANSWERS
 
 interface ErrorExtras {
-	/** Overrides the table where the thrower knows more. */
+	/** Overrides the value of the kind. */
 	readonly ran?: RunStatus
-	/** When the caller should come back, in milliseconds. */
+	/** When the caller should retry, in milliseconds. */
 	readonly retryAfterMs?: number
 }
 
-/** The only error class of the product; `kind` selects its answer. */
+/** An error of a kind, which selects its answer. */
 export class DispatchError extends Error {
 	readonly ran: RunStatus
 	readonly retryAfterMs: number | undefined
@@ -90,7 +90,7 @@
 }
 
 /**
- * Returns a failed result; all errors of the product are made here.
+ * Returns a failed result with a `DispatchError`.
  *
  * @example return fail("overloaded", "2000 requests wait", {retryAfterMs: 800})
  */
--- a/packages/core/src/utils/hash.ts
+++ b/packages/core/src/utils/hash.ts
@@ -1,12 +1,12 @@
 /**
- * Hashes: a fast one that spreads keys, and a strong one that tells bodies apart.
+ * Hash functions: a fast one to distribute keys, and a cryptographic one to compare bodies.
  */
 import {createHash} from "node:crypto"
 import xxhash from "xxhash-wasm"
 
 const {h32} = await xxhash()
 
-/** Spreads a key over `count` buckets; the same on every instance. */
+/** Returns the bucket of a key, from 0 to `count` - 1; the same on every instance. */
 export function bucketOf(key: string, count: number): number {
 	return h32(key) % count
 }
@@ -19,7 +19,7 @@
 		.map(({member}) => member)
 }
 
-/** Picks the member that scores highest for a key; undefined when there is none. */
+/** Returns the member with the highest score for a key; undefined when there are no members. */
 export function rendezvous(key: string, members: readonly string[]): string | undefined {
 	return rank(key, members)[0]
 }
--- a/packages/core/src/utils/suspension-count.ts
+++ b/packages/core/src/utils/suspension-count.ts
@@ -1,38 +1,42 @@
 /**
- * For how long the machine has been suspended since the process began.
+ * Counts the time for which the machine was suspended since the process began. Used by the system
+ * clock.
  *
- * The steady clock does not count that time, while all that others believe of this process grows older. A clock that
- * counts it (since the machine began) tells a suspension from a mere jump of the time of day, but is dearer to read than the
- * time of day; so it is asked when the time of day has moved against the steady clock, and now and then besides.
+ * The monotonic clock stands still during a suspension. The boot clock does not, but costs more to
+ * read than the wall clock. It is read when the wall clock has moved against the monotonic clock,
+ * and at intervals.
  */
 
-/** Neither clock is corrected by so much between two readings; a shorter suspension is found by the next look. */
+/**
+ * More than any clock is corrected between two readings. Shorter suspensions add up until a check
+ * finds them.
+ */
 const STEP_MS = 20
-/** A suspension under which the time of day jumped back by as much is found after this. */
+/** Finds suspensions that a backward jump of the wall clock hides. */
 const LOOK_MS = 50
 
 export interface SuspensionReadings {
-	/** All in milliseconds: a clock that stands still during a suspension, */
+	/** Milliseconds on a clock that stands still during suspensions. */
 	readonly steady: () => number
-	/** the time of day, */
+	/** Wall-clock milliseconds. */
 	readonly wall: () => number
-	/** and a clock that goes on during a suspension and never jumps. */
+	/** Milliseconds on a clock that goes on during suspensions and never jumps. */
 	readonly sinceBoot: () => number
-	/** Hears of each suspension, in milliseconds. */
+	/** Called with the milliseconds of each suspension. */
 	readonly onSuspension: (ms: number) => void
 }
 
 export interface SuspensionCount {
-	/** The time that all suspensions until now have taken, in milliseconds; `steady` is a reading of now. */
+	/** Total milliseconds of all suspensions until now; `steady` is a current reading. */
 	suspendedMs(steady: number): number
 }
 
 export function createSuspensionCount(readings: SuspensionReadings): SuspensionCount {
 	const {steady, wall, sinceBoot, onSuspension} = readings
 	let lookedAt = steady()
-	/** How far the time of day is ahead of the steady clock. */
+	/** How far the wall clock is ahead of the monotonic clock. */
 	let wallAhead = wall() - lookedAt
-	/** How far the clock since boot is ahead of the steady clock: it grows by suspensions alone. */
+	/** How far the boot clock is ahead of the monotonic clock; changes only by suspensions. */
 	let bootAhead = sinceBoot() - lookedAt
 	let suspendedMs = 0
 
