--- a/packages/core/test/owner-interleavings.test.ts
+++ b/packages/core/test/owner-interleavings.test.ts
@@ -15,7 +15,7 @@
 
 type Step = () => Promise<void>
 
-/** All steps that the world allows now; the random choice is among them. */
+/** The steps that are possible now. */
 function stepsOf(world: TwoSessions, pick: number): readonly Step[] {
 	const steps: Step[] = []
 	const key = KEYS[pick % KEYS.length]!
--- a/packages/core/test/support/two-sessions.ts
+++ b/packages/core/test/support/two-sessions.ts
@@ -1,6 +1,6 @@
 /**
- * Two sessions of the real core over a store whose every answer is in the test's hands: writes can
- * be taken, dropped, answered late or never, and the second session can take over at any moment.
+ * Two sessions of the real core over a fake store. A test decides whether each write is taken,
+ * dropped, answered late or never, and when the second session takes over.
  */
 import {
 	createExplainer,
--- a/packages/core/test/suspension.test.ts
+++ b/packages/core/test/suspension.test.ts
@@ -1,5 +1,5 @@
 /**
- * The time for which a machine was suspended counts on the process's clock; a jump of the time of day does not.
+ * The system clock includes suspensions of the machine, but not jumps of the wall clock.
  */
 import {createSystemClock} from "../src/utils/clock.js"
 import {createSuspensionCount} from "../src/utils/suspension-count.js"
@@ -74,10 +74,7 @@
 })
 
 describe("timers that fell due during a suspension", () => {
-	/*
-	 * All that were due were fired from one list, so a timer that another one had just cancelled fired all the same, which the
-	 * runtime's own timers never do: an answer's time-out, say, after the answer.
-	 */
+	/* Guards against a timer that fires although another due timer has cancelled it. */
 	it("do not fire once another one has cancelled them", async () => {
 		const clock = createSystemClock()
 		let asleepMs = 0
