--- a/packages/core/src/core/assignment.ts
+++ b/packages/core/src/core/assignment.ts
@@ -4,7 +4,7 @@
  * The bound caps each instance at its even share, since plain rendezvous hashing splits few targets
  * unevenly. A change of members still moves few targets.
  */
-import {rank} from "../utils/hash.js"
+import {rankByRendezvous} from "../utils/hash.js"
 
 /**
  * Returns the member of each target. Instances that know the same names compute the same result.
@@ -20,7 +20,7 @@
 	const bound = Math.ceil(targets.length / members.length)
 	const loads = new Map<string, number>()
 	for (const target of [...targets].sort()) {
-		const member = rank(target, members).find(name => (loads.get(name) ?? 0) < bound)!
+		const member = rankByRendezvous(target, members).find(name => (loads.get(name) ?? 0) < bound)!
 		assigned.set(target, member)
 		loads.set(member, (loads.get(member) ?? 0) + 1)
 	}
--- a/packages/core/src/core/budget.ts
+++ b/packages/core/src/core/budget.ts
@@ -5,7 +5,7 @@
 const MS_PER_SECOND = 1_000
 const MAX_TOKENS = 100
 /** Retries that need no traffic, so that a lost worker does not fail a small job. */
-const RESERVE = 20
+const RESERVE_TOKENS = 20
 const RESERVE_PER_SECOND = 5
 
 export interface RetryBudget {
@@ -21,13 +21,13 @@
  */
 export function createRetryBudget(ratio: () => number, now: () => number): RetryBudget {
 	let tokens = 0
-	let reserve = RESERVE
+	let reserve = RESERVE_TOKENS
 	let refilledAt = now()
 
 	function refill() {
 		const at = now()
 		const refilled = ((at - refilledAt) * RESERVE_PER_SECOND) / MS_PER_SECOND
-		reserve = Math.min(RESERVE, reserve + refilled)
+		reserve = Math.min(RESERVE_TOKENS, reserve + refilled)
 		refilledAt = at
 	}
 
--- a/packages/core/src/core/estimates.ts
+++ b/packages/core/src/core/estimates.ts
@@ -5,7 +5,7 @@
 
 const SMOOTHING = 0.1
 const MAX_KINDS = 2_000
-const UNKNOWN_MS = 300
+const DEFAULT_RUN_MS = 300
 
 interface Estimate {
 	meanMs: number
@@ -26,20 +26,20 @@
 	const kinds = new Map<string, Estimate>()
 	return {
 		observe(kind, runMs) {
-			const known = kinds.get(kind)
-			if (!known) {
+			const estimate = kinds.get(kind)
+			if (!estimate) {
 				if (kinds.size >= MAX_KINDS) kinds.delete(kinds.keys().next().value!)
 				kinds.set(kind, {meanMs: runMs, deviationMs: runMs / 2})
 				return
 			}
-			const error = runMs - known.meanMs
-			known.meanMs += SMOOTHING * error
-			known.deviationMs += SMOOTHING * (Math.abs(error) - known.deviationMs)
+			const error = runMs - estimate.meanMs
+			estimate.meanMs += SMOOTHING * error
+			estimate.deviationMs += SMOOTHING * (Math.abs(error) - estimate.deviationMs)
 		},
-		expectedMs: kind => kinds.get(kind)?.meanMs ?? UNKNOWN_MS,
+		expectedMs: kind => kinds.get(kind)?.meanMs ?? DEFAULT_RUN_MS,
 		lateMs(kind) {
-			const known = kinds.get(kind)
-			return known && known.meanMs + 4 * known.deviationMs
+			const estimate = kinds.get(kind)
+			return estimate && estimate.meanMs + 4 * estimate.deviationMs
 		},
 	}
 }
--- a/packages/core/src/core/explain.ts
+++ b/packages/core/src/core/explain.ts
@@ -36,18 +36,19 @@
 
 /** Keeps the newest submissions, and of each the first and the newest steps. */
 export function createExplainer(wallNow: () => number): Explainer {
-	const steps = new Map<SubmissionKey, Step[]>()
+	const submissions = new Map<SubmissionKey, Step[]>()
 	return {
 		add(key, step, cause) {
-			let list = steps.get(key)
+			let list = submissions.get(key)
 			if (!list) {
-				if (steps.size >= MAX_SUBMISSIONS) steps.delete(steps.keys().next().value!)
+				if (submissions.size >= MAX_SUBMISSIONS)
+					submissions.delete(submissions.keys().next().value!)
 				list = []
-				steps.set(key, list)
+				submissions.set(key, list)
 			}
 			if (list.length >= MAX_STEPS) list.splice(MAX_STEPS / 2, 1)
 			list.push({at: wallNow(), step, cause})
 		},
-		explain: key => steps.get(key) ?? [],
+		explain: key => submissions.get(key) ?? [],
 	}
 }
--- a/packages/core/src/core/fair-queue.ts
+++ b/packages/core/src/core/fair-queue.ts
@@ -7,7 +7,7 @@
  */
 import TinyQueue from "tinyqueue"
 
-export interface Queued {
+export interface QueueItem {
 	readonly team: string
 	/** The pool of targets that may run the item. */
 	readonly pool: string
@@ -23,14 +23,14 @@
 	costMs: number
 }
 
-interface TeamLine<T extends Queued> {
+interface TeamQueue<T extends QueueItem> {
 	readonly heaps: Map<string, TinyQueue<T>>
 	size: number
 	/** Work served divided by weight; the team with the least goes first. */
 	virtualTime: number
 }
 
-export interface FairQueue<T extends Queued> {
+export interface FairQueue<T extends QueueItem> {
 	push(item: T): void
 	/**
 	 * Removes the items that `start` accepts, in order. When `start` returns false, the item stays
@@ -46,13 +46,13 @@
 	costMs(pool: string): number
 }
 
-const byDeadline = (a: Queued, b: Queued) => a.deadlineAt - b.deadlineAt
+const byDeadline = (a: QueueItem, b: QueueItem) => a.deadlineAt - b.deadlineAt
 
-export function createFairQueue<T extends Queued>(): FairQueue<T> {
-	const lines = new Map<string, TeamLine<T>>()
+export function createFairQueue<T extends QueueItem>(): FairQueue<T> {
+	const teamQueues = new Map<string, TeamQueue<T>>()
 	const pools = new Map<string, PoolLoad>()
 	let total = 0
-	let servedTime = 0
+	let currentVirtualTime = 0
 
 	function addLoad(item: T, sign: 1 | -1) {
 		const load = pools.get(item.pool) ?? {size: 0, costMs: 0}
@@ -62,27 +62,30 @@
 		total += sign
 	}
 
-	function lineOf(team: string): TeamLine<T> {
-		let line = lines.get(team)
-		if (!line) {
-			line = {heaps: new Map(), size: 0, virtualTime: servedTime}
-			lines.set(team, line)
+	function teamQueueOf(team: string): TeamQueue<T> {
+		let teamQueue = teamQueues.get(team)
+		if (!teamQueue) {
+			teamQueue = {heaps: new Map(), size: 0, virtualTime: currentVirtualTime}
+			teamQueues.set(team, teamQueue)
 		}
-		return line
+		return teamQueue
 	}
 
-	function takeFrom(team: string, line: TeamLine<T>, heap: TinyQueue<T>) {
+	function dequeue(team: string, teamQueue: TeamQueue<T>, heap: TinyQueue<T>) {
 		const item = heap.pop()!
-		if (heap.length === 0) line.heaps.delete(item.shape)
-		line.size--
+		if (heap.length === 0) teamQueue.heaps.delete(item.shape)
+		teamQueue.size--
 		addLoad(item, -1)
-		if (line.size === 0) lines.delete(team)
+		if (teamQueue.size === 0) teamQueues.delete(team)
 	}
 
 	/** Returns the heap with the earliest deadline among the shapes that are not blocked. */
-	function headOf(line: TeamLine<T>, blocked: ReadonlySet<string>): TinyQueue<T> | undefined {
+	function earliestHeap(
+		teamQueue: TeamQueue<T>,
+		blocked: ReadonlySet<string>,
+	): TinyQueue<T> | undefined {
 		let best: TinyQueue<T> | undefined
-		for (const [shape, heap] of line.heaps) {
+		for (const [shape, heap] of teamQueue.heaps) {
 			if (blocked.has(shape)) continue
 			if (!best || heap.peek()!.deadlineAt < best.peek()!.deadlineAt) best = heap
 		}
@@ -90,22 +93,22 @@
 	}
 
 	function nextTeam(blocked: ReadonlySet<string>) {
-		let best: {team: string; line: TeamLine<T>; heap: TinyQueue<T>} | undefined
-		for (const [team, line] of lines) {
-			if (best && line.virtualTime >= best.line.virtualTime) continue
-			const heap = headOf(line, blocked)
-			if (heap) best = {team, line, heap}
+		let best: {team: string; teamQueue: TeamQueue<T>; heap: TinyQueue<T>} | undefined
+		for (const [team, teamQueue] of teamQueues) {
+			if (best && teamQueue.virtualTime >= best.teamQueue.virtualTime) continue
+			const heap = earliestHeap(teamQueue, blocked)
+			if (heap) best = {team, teamQueue, heap}
 		}
 		return best
 	}
 
 	return {
 		push(item) {
-			const line = lineOf(item.team)
-			const heap = line.heaps.get(item.shape) ?? new TinyQueue<T>([], byDeadline)
+			const teamQueue = teamQueueOf(item.team)
+			const heap = teamQueue.heaps.get(item.shape) ?? new TinyQueue<T>([], byDeadline)
 			heap.push(item)
-			line.heaps.set(item.shape, heap)
-			line.size++
+			teamQueue.heaps.set(item.shape, heap)
+			teamQueue.size++
 			addLoad(item, 1)
 		},
 		drain(start, weightOf) {
@@ -118,30 +121,30 @@
 					blocked.add(item.shape)
 					continue
 				}
-				servedTime = Math.max(servedTime, next.line.virtualTime)
-				next.line.virtualTime += item.costMs / weightOf(item.team)
-				takeFrom(next.team, next.line, next.heap)
+				currentVirtualTime = Math.max(currentVirtualTime, next.teamQueue.virtualTime)
+				next.teamQueue.virtualTime += item.costMs / weightOf(item.team)
+				dequeue(next.team, next.teamQueue, next.heap)
 			}
 		},
 		remove(isRemoved) {
 			const removed: T[] = []
-			for (const [team, line] of lines) {
-				for (const [shape, heap] of line.heaps) {
-					const gone = heap.data.filter(isRemoved)
-					if (gone.length === 0) continue
-					const kept = heap.data.filter(item => !isRemoved(item))
-					removed.push(...gone)
-					if (kept.length > 0) line.heaps.set(shape, new TinyQueue(kept, byDeadline))
-					else line.heaps.delete(shape)
-					line.size -= gone.length
+			for (const [team, teamQueue] of teamQueues) {
+				for (const [shape, heap] of teamQueue.heaps) {
+					const matching = heap.data.filter(isRemoved)
+					if (matching.length === 0) continue
+					const remaining = heap.data.filter(item => !isRemoved(item))
+					removed.push(...matching)
+					if (remaining.length > 0) teamQueue.heaps.set(shape, new TinyQueue(remaining, byDeadline))
+					else teamQueue.heaps.delete(shape)
+					teamQueue.size -= matching.length
 				}
-				if (line.size === 0) lines.delete(team)
+				if (teamQueue.size === 0) teamQueues.delete(team)
 			}
 			for (const item of removed) addLoad(item, -1)
 			return removed
 		},
 		size: () => total,
-		sizeOf: team => lines.get(team)?.size ?? 0,
+		sizeOf: team => teamQueues.get(team)?.size ?? 0,
 		sizeIn: pool => pools.get(pool)?.size ?? 0,
 		costMs: pool => pools.get(pool)?.costMs ?? 0,
 	}
--- a/packages/core/src/core/health.ts
+++ b/packages/core/src/core/health.ts
@@ -12,9 +12,9 @@
 const PEER_FAILING_SHARE = 0.3
 const SLOW_FACTOR = 3
 const MIN_SLOW_RUNS = 8
-const MAX_PROBE_FACTOR = 16
+const MAX_PROBE_DELAY_FACTOR = 16
 
-interface Record_ {
+interface TargetRecord {
 	runs: number
 	failures: number
 	/** Smoothed ratio of run time to the kind's expected run time. */
@@ -22,7 +22,7 @@
 	asideSince: number | undefined
 	probeAt: number
 	isProbing: boolean
-	probes: number
+	probeDelayFactor: number
 }
 
 export interface Observation {
@@ -53,9 +53,9 @@
 }
 
 export function createHealth(deps: HealthDeps): Health {
-	const records = new Map<string, Record_>()
+	const records = new Map<string, TargetRecord>()
 
-	function recordOf(target: string): Record_ {
+	function recordOf(target: string): TargetRecord {
 		let record = records.get(target)
 		if (!record) {
 			record = {
@@ -65,7 +65,7 @@
 				asideSince: undefined,
 				probeAt: 0,
 				isProbing: false,
-				probes: 0,
+				probeDelayFactor: 0,
 			}
 			records.set(target, record)
 		}
@@ -73,11 +73,11 @@
 	}
 
 	/** Returns the failure share of the other targets; 1 while they have too few runs. */
-	function peerFailureShare(self: Record_): number {
+	function peerFailureShare(subject: TargetRecord): number {
 		let runs = 0
 		let failures = 0
 		for (const record of records.values()) {
-			if (record === self || record.asideSince !== undefined) continue
+			if (record === subject || record.asideSince !== undefined) continue
 			runs += record.runs
 			failures += record.failures
 		}
@@ -90,22 +90,22 @@
 		return count
 	}
 
-	function mayPutAside(): boolean {
+	function canSetAside(): boolean {
 		const allowed = Math.max(1, Math.floor(records.size * deps.maxAsideShare()))
 		return records.size > 1 && asideCount() < allowed
 	}
 
-	function putAside(target: string, record: Record_, cause: string) {
+	function setAside(target: string, record: TargetRecord, cause: string) {
 		record.asideSince = deps.now()
 		record.probeAt = deps.now() + deps.probeAfterMs()
 		deps.onChange(target, "aside", cause)
 	}
 
-	function judgeProbe(target: string, record: Record_, seen: Observation) {
+	function evaluateProbe(target: string, record: TargetRecord, observation: Observation) {
 		record.isProbing = false
-		if (seen.failed || seen.slowness > SLOW_FACTOR) {
-			record.probes = Math.min(MAX_PROBE_FACTOR, record.probes * 2 || 1)
-			record.probeAt = deps.now() + deps.probeAfterMs() * record.probes
+		if (observation.failed || observation.slowness > SLOW_FACTOR) {
+			record.probeDelayFactor = Math.min(MAX_PROBE_DELAY_FACTOR, record.probeDelayFactor * 2 || 1)
+			record.probeAt = deps.now() + deps.probeAfterMs() * record.probeDelayFactor
 			return
 		}
 		records.delete(target)
@@ -113,30 +113,31 @@
 		deps.onChange(target, "back", "a probe succeeded")
 	}
 
-	function judge(target: string, record: Record_) {
+	function evaluate(target: string, record: TargetRecord) {
 		if (record.runs < MIN_RUNS) return
 		const share = record.failures / record.runs
 		const isFailing = share >= FAILING_SHARE && peerFailureShare(record) <= PEER_FAILING_SHARE
 		const isSlow = record.runs * DECAY >= 3 && record.slowness > SLOW_FACTOR
 		if (!isFailing && !isSlow) return
-		if (!mayPutAside()) return
+		if (!canSetAside()) return
 		const cause = isFailing
 			? `failed ${Math.round(share * 100)}% of its last runs, its peers few`
 			: `ran ${record.slowness.toFixed(1)} times slower than expected`
-		putAside(target, record, cause)
+		setAside(target, record, cause)
 	}
 
 	return {
-		observe(seen) {
-			const record = recordOf(seen.target)
+		observe(observation) {
+			const record = recordOf(observation.target)
 			if (record.asideSince !== undefined) {
-				if (record.isProbing) judgeProbe(seen.target, record, seen)
+				if (record.isProbing) evaluateProbe(observation.target, record, observation)
 				return
 			}
 			record.runs = record.runs * DECAY + 1
-			record.failures = record.failures * DECAY + (seen.failed ? 1 : 0)
-			if (!seen.failed) record.slowness += (seen.slowness - record.slowness) / MIN_SLOW_RUNS
-			judge(seen.target, record)
+			record.failures = record.failures * DECAY + (observation.failed ? 1 : 0)
+			if (!observation.failed)
+				record.slowness += (observation.slowness - record.slowness) / MIN_SLOW_RUNS
+			evaluate(observation.target, record)
 		},
 		isUsable(target) {
 			const record = records.get(target)
--- a/packages/core/src/core/ids.ts
+++ b/packages/core/src/core/ids.ts
@@ -18,7 +18,7 @@
 }
 
 /** Returns the wall-clock time in a UUID of version 7, in milliseconds; undefined for other ids. */
-export function mintedAt(id: string): number | undefined {
+export function creationTimeOf(id: string): number | undefined {
 	const match = UUID_V7.exec(id)
 	return match ? parseInt(match[1]! + match[2]!, 16) : undefined
 }
--- a/packages/core/src/core/journal.ts
+++ b/packages/core/src/core/journal.ts
@@ -92,11 +92,11 @@
 		return err(new DispatchError("moved", `journal of ${deps.session} is sealed`))
 	}
 
-	function becomeSealed(batch: readonly Pending[]) {
+	function markSealed(batch: readonly Pending[]) {
 		isSealed = true
-		const lost = [...batch, ...pending]
+		const unwritten = [...batch, ...pending]
 		pending = []
-		for (const item of lost) item.settle?.(sealedError())
+		for (const item of unwritten) item.settle?.(sealedError())
 		deps.onSealed()
 	}
 
@@ -130,7 +130,7 @@
 			}
 			const written = await writeEntry(entry, batch.length)
 			stalledSince = undefined
-			if (written === "sealed") return becomeSealed(batch)
+			if (written === "sealed") return markSealed(batch)
 			seq++
 			for (const item of batch) item.settle?.(ok(undefined))
 		}
--- a/packages/core/src/core/outcomes.ts
+++ b/packages/core/src/core/outcomes.ts
@@ -6,7 +6,7 @@
 import {DispatchError, ERROR_ANSWERS, isErrorKind, type ErrorKind} from "../utils/errors.js"
 
 /** Outcomes with a longer JSON text are not kept in the journal. */
-const MAX_KEPT_ANSWER = 4_096
+const MAX_KEPT_CHARACTERS = 4_096
 
 /** Converts an error to an outcome. */
 export function outcomeOf(error: DispatchError): Outcome {
@@ -29,7 +29,7 @@
 
 /** Returns an outcome as the journal keeps it. */
 export function keptOutcome(outcome: Outcome): KeptOutcome {
-	return JSON.stringify(outcome).length <= MAX_KEPT_ANSWER ? outcome : "too large"
+	return JSON.stringify(outcome).length <= MAX_KEPT_CHARACTERS ? outcome : "too large"
 }
 
 /** Returns whether a resubmission with the same id may get another outcome. */
--- a/packages/core/src/core/owner.ts
+++ b/packages/core/src/core/owner.ts
@@ -16,14 +16,14 @@
 import type {JournalRecord} from "../types/types-internal.js"
 import type {Outcome, SessionId, Submission, SubmissionKey} from "../types/types-external.js"
 import type {Explainer} from "./explain.js"
-import {mintedAt, splitKey} from "./ids.js"
+import {creationTimeOf, splitKey} from "./ids.js"
 import type {Journal} from "./journal.js"
 import {failure, keptOutcome, outcomeOf} from "./outcomes.js"
 import {shardOf} from "./ownership.js"
 import {createSubmissionTable, finish, type Entry, type EntryState} from "./submission-table.js"
 
 /** After this long without a definite answer of the store, new intents are refused at once. */
-export const STALL_MS = 1_500
+export const STORE_STALL_MS = 1_500
 const STORE_RETRY_MS = 2_000
 
 export interface OwnerDeps {
@@ -82,8 +82,9 @@
 	}
 
 	function expiredOutcome(key: SubmissionKey): Outcome | undefined {
-		const minted = mintedAt(splitKey(key).id)
-		if (minted === undefined || clock.wallNow() - minted < deps.retentionMs()) return undefined
+		const createdAt = creationTimeOf(splitKey(key).id)
+		if (createdAt === undefined || clock.wallNow() - createdAt < deps.retentionMs())
+			return undefined
 		deps.count("refusal.id_expired")
 		return failure("id_expired", "ids are kept for the retention time; use a new one")
 	}
@@ -94,7 +95,7 @@
 		try {
 			for (;;) {
 				if (entry.state !== "pending") return await entry.settled
-				const leftMs = STALL_MS - deps.journal().stalledMs()
+				const leftMs = STORE_STALL_MS - deps.journal().stalledMs()
 				if (leftMs <= 0) return stalledOutcome()
 				let cancel: (() => void) | undefined
 				const timeout = new Promise<void>(resolve => (cancel = clock.schedule(leftMs, resolve)))
@@ -146,7 +147,7 @@
 		deps.journal().appendLazily({type: "closed", key, outcome})
 	}
 
-	async function intendAndRun(submission: Submission, entry: Entry) {
+	async function journalIntentAndRun(submission: Submission, entry: Entry) {
 		const {key, digest, deadlineAt} = submission.head
 		const durable = await deps.journal().append({type: "intent", key, digest})
 		if (durable.isErr()) {
@@ -197,7 +198,7 @@
 			if (known) return join(submission, known)
 			const expired = expiredOutcome(key)
 			if (expired) return expired
-			const isStalled = deps.journal().stalledMs() >= STALL_MS
+			const isStalled = deps.journal().stalledMs() >= STORE_STALL_MS
 			if (isStalled && !repeatable) return stalledOutcome()
 			const admitted = deps.admit(submission)
 			if (admitted.isErr()) return refuse(submission, admitted.error)
@@ -207,7 +208,7 @@
 			else if (deps.guards?.intentFirst === false) {
 				deps.journal().appendLazily({type: "intent", key, digest})
 				void run(submission, entry)
-			} else void intendAndRun(submission, entry)
+			} else void journalIntentAndRun(submission, entry)
 			return waitFor(entry)
 		},
 		find(key) {
--- a/packages/core/src/core/ownership.ts
+++ b/packages/core/src/core/ownership.ts
@@ -6,7 +6,7 @@
  * owner's journal. `past` lists the earlier sessions whose journals a new owner must read before it
  * serves the shard.
  */
-import {bucketOf, rendezvous} from "../utils/hash.js"
+import {bucketOf, pickByRendezvous} from "../utils/hash.js"
 import type {SessionId, SubmissionKey} from "../types/types-external.js"
 
 /** Must not change during the life of a store, since it determines the shard of each key. */
@@ -61,14 +61,14 @@
 	const seals = new Set<SessionId>()
 	const releases: {shard: number; to: SessionId}[] = []
 	map.shards.forEach((shard, index) => {
-		const wanted = rendezvous(`shard-${index}`, view.eligible)
-		if (wanted === undefined) return
+		const assigned = pickByRendezvous(`shard-${index}`, view.eligible)
+		if (assigned === undefined) return
 		if (shard.owner === view.self) {
-			if (wanted !== view.self) releases.push({shard: index, to: wanted})
+			if (assigned !== view.self) releases.push({shard: index, to: assigned})
 			return
 		}
 		const isOrphan = shard.owner === null || !view.live.has(shard.owner)
-		if (!isOrphan || wanted !== view.self) return
+		if (!isOrphan || assigned !== view.self) return
 		claims.push(index)
 		if (shard.owner !== null) seals.add(shard.owner)
 	})
--- a/packages/core/src/core/run.ts
+++ b/packages/core/src/core/run.ts
@@ -15,8 +15,8 @@
 import type {Explainer} from "./explain.js"
 import type {Attempt, AttemptResult} from "./scheduler/attempt.js"
 
-const REPLACE_BASE_MS = 5
-const REPLACE_CAP_MS = 250
+const RETRY_BASE_MS = 5
+const RETRY_CAP_MS = 250
 
 /** The part of an attempt that is the same for every try of a task. */
 export type TaskPlan = Omit<
@@ -115,7 +115,7 @@
 				return endOf(result, started)
 			}
 			deps.count(`retry.${result.reason.replace(" ", "_")}`)
-			await deps.clock.sleep(backoffMs(tries, REPLACE_BASE_MS, REPLACE_CAP_MS, deps.random))
+			await deps.clock.sleep(backoffMs(tries, RETRY_BASE_MS, RETRY_CAP_MS, deps.random))
 			continue
 		}
 		started = true
@@ -125,7 +125,7 @@
 		if (result.target) avoid.push(result.target)
 		deps.count(`retry.${result.type}`)
 		deps.explainer.add(key, "retried", `task ${run.index}: ${result.type}, ${result.detail}`)
-		await deps.clock.sleep(backoffMs(retries, REPLACE_BASE_MS, REPLACE_CAP_MS, deps.random))
+		await deps.clock.sleep(backoffMs(retries, RETRY_BASE_MS, RETRY_CAP_MS, deps.random))
 	}
 }
 
@@ -138,7 +138,7 @@
 }
 
 /** Returns what is certain about a failed job: "not run" only when none of its tasks ran. */
-function jobRan(ends: readonly (TaskEnd | undefined)[]): RunStatus {
+function jobRunStatus(ends: readonly (TaskEnd | undefined)[]): RunStatus {
 	const seen = ends.map(end => (end === undefined ? "unknown" : end.ok ? "failed" : end.ran))
 	if (seen.every(ran => ran === "not run")) return "not run"
 	return seen.includes("unknown") ? "unknown" : "failed"
@@ -161,7 +161,7 @@
 		stop.cancel()
 		deps.cancel(key)
 	}
-	const forget = cancellation.onCancel(stopAll)
+	const unsubscribe = cancellation.onCancel(stopAll)
 	const ends = new Array<TaskEnd | undefined>(plans.length)
 	let firstFailure: number | undefined
 	await Promise.all(
@@ -173,15 +173,15 @@
 			if (plans.length > 1) stopAll()
 		}),
 	)
-	forget()
+	unsubscribe()
 	if (firstFailure === undefined) {
 		const values = ends.map(end => (end as TaskEnd & {ok: true}).value)
 		return {ok: true, value: submission.type === "job" ? values : values[0]}
 	}
 	if (cancellation.isCancelled()) {
-		return {ok: false, kind: "cancelled", detail: "cancelled while it ran", ran: jobRan(ends)}
+		return {ok: false, kind: "cancelled", detail: "cancelled while it ran", ran: jobRunStatus(ends)}
 	}
 	const failed = ends[firstFailure] as TaskEnd & {ok: false}
 	const outcome = failureOf(submission, firstFailure, failed)
-	return {...outcome, ran: plans.length > 1 ? jobRan(ends) : failed.ran} as Outcome
+	return {...outcome, ran: plans.length > 1 ? jobRunStatus(ends) : failed.ran} as Outcome
 }
--- a/packages/core/src/core/scheduler/admission.ts
+++ b/packages/core/src/core/scheduler/admission.ts
@@ -43,7 +43,7 @@
 }
 
 /** Returns an error with a retry-after time when the attempts must not be queued. */
-export function admitTo(
+export function checkAdmission(
 	query: AdmissionQuery,
 	deps: AdmissionDeps,
 	backlog: Backlog,
--- a/packages/core/src/core/scheduler/attempt.ts
+++ b/packages/core/src/core/scheduler/attempt.ts
@@ -2,7 +2,7 @@
  * An attempt, which is one try of one task, and its result.
  */
 import type {Resources, SubmissionKey, Target} from "../../types/types-external.js"
-import type {Queued} from "../fair-queue.js"
+import type {QueueItem} from "../fair-queue.js"
 import type {Selector} from "../selector.js"
 
 /** The pool of all workers; each endpoint has a pool of its own. */
@@ -17,7 +17,7 @@
 }
 
 /** One try of one task of a submission. */
-export interface Attempt extends Queued {
+export interface Attempt extends QueueItem {
 	readonly id: string
 	readonly key: SubmissionKey
 	readonly task: number
--- a/packages/core/src/core/scheduler/peer-rooms.ts
+++ b/packages/core/src/core/scheduler/peer-rooms.ts
@@ -17,8 +17,8 @@
 	 */
 	pick(attempt: Attempt): string | undefined
 	/** Counts an attempt against the room of a peer until the peer reports again. */
-	noteSent(peer: string, attempt: Attempt): void
-	noteReport(peer: string, pool?: string): void
+	recordSent(peer: string, attempt: Attempt): void
+	resetSent(peer: string, pool?: string): void
 }
 
 export function createPeerRooms(peers: () => readonly PeerRoom[]): PeerRooms {
@@ -47,12 +47,12 @@
 			if (near !== undefined || !attempt.mayLeaveDomain) return near
 			return pickAmong(attempt, false)
 		},
-		noteSent(peer, attempt) {
+		recordSent(peer, attempt) {
 			const pools = sentSince.get(peer) ?? new Map<string, number>()
 			sentSince.set(peer, pools)
 			pools.set(attempt.pool, (pools.get(attempt.pool) ?? 0) + attempt.need.cpu)
 		},
-		noteReport(peer, pool) {
+		resetSent(peer, pool) {
 			if (pool === undefined) sentSince.delete(peer)
 			else sentSince.get(peer)?.delete(pool)
 		},
--- a/packages/core/src/core/scheduler/running-set.ts
+++ b/packages/core/src/core/scheduler/running-set.ts
@@ -3,7 +3,7 @@
  */
 import type {SubmissionKey} from "../../types/types-external.js"
 import type {Attempt, AttemptResult} from "./attempt.js"
-import {occupy, vacate, type TargetState} from "./target-state.js"
+import {allocate, release, type TargetState} from "./target-state.js"
 
 /** Where an attempt was sent: the id of a peer, or a target of this instance. */
 export type Place = TargetState | string
@@ -42,7 +42,7 @@
 			byTeam.set(team, (byTeam.get(team) ?? 0) + 1)
 			const ofKey = byKey.get(key) ?? new Map<string, Running>()
 			byKey.set(key, ofKey.set(id, item))
-			if (!isPeer(item.place)) occupy(item.place, need)
+			if (!isPeer(item.place)) allocate(item.place, need)
 		},
 		take(id) {
 			const item = byId.get(id)
@@ -53,7 +53,7 @@
 			const ofKey = byKey.get(key)
 			ofKey?.delete(id)
 			if (ofKey?.size === 0) byKey.delete(key)
-			if (!isPeer(item.place)) vacate(item.place, need)
+			if (!isPeer(item.place)) release(item.place, need)
 			return item
 		},
 		size: () => byId.size,
--- a/packages/core/src/core/scheduler/scheduler.ts
+++ b/packages/core/src/core/scheduler/scheduler.ts
@@ -11,7 +11,7 @@
 import type {SubmissionKey, Target} from "../../types/types-external.js"
 import type {Estimates} from "../estimates.js"
 import {createFairQueue} from "../fair-queue.js"
-import {admitTo, type AdmissionQuery} from "./admission.js"
+import {checkAdmission, type AdmissionQuery} from "./admission.js"
 import type {Attempt, AttemptResult} from "./attempt.js"
 import {createPeerRooms, type PeerRoom} from "./peer-rooms.js"
 import {createRunningSet, isPeer, type Place, type Running} from "./running-set.js"
@@ -64,20 +64,20 @@
 	readonly aside: number
 }
 
-interface Waiting extends Attempt {
+interface WaitingAttempt extends Attempt {
 	readonly done: (result: AttemptResult) => void
 	readonly queuedAt: number
 	/** When an unplaced attempt expires, or is returned to the peer. */
-	readonly waitsUntil: number
+	readonly expiresAt: number
 }
 
 const BUSY_BLOCK_MS = 25
 const EXPIRY_SWEEP_MS = 50
 /** Shorter waits are not worth a message to a peer. */
-const FORWARD_AFTER_MS = 10
+const MIN_WAIT_TO_FORWARD_MS = 10
 /** How long an attempt from a peer waits before it is returned. */
-const FORWARDED_PATIENCE_MS = 500
-const LEAVING_MEMORY_MS = 30_000
+const MAX_FORWARDED_WAIT_MS = 500
+const LEAVING_TTL_MS = 30_000
 
 /** Adds an attempt to the batch of its destination. */
 function addToBatch<K>(batches: Map<K, Attempt[]>, place: K, attempt: Attempt) {
@@ -91,22 +91,22 @@
 	const {clock, estimates} = deps
 	const {now} = clock
 	const pools = createTargetPools({...deps, now})
-	const queue = createFairQueue<Waiting>()
+	const queue = createFairQueue<WaitingAttempt>()
 	const running = createRunningSet()
 	const rooms = createPeerRooms(deps.peers)
 	/** Attempts that were sent a stop; their results do not count for the health of their targets. */
 	const stopping = new Set<string>()
-	let isPumpDue = false
-	let isSweepDue = false
+	let isPlacingScheduled = false
+	let isSweepScheduled = false
 
 	/** Returns whether an attempt waits long enough to be forwarded. */
-	function isWorthForwarding({pool, queuedAt}: Waiting): boolean {
-		if (now() - queuedAt > FORWARD_AFTER_MS) return true
+	function isWorthForwarding({pool, queuedAt}: WaitingAttempt): boolean {
+		if (now() - queuedAt > MIN_WAIT_TO_FORWARD_MS) return true
 		const capacity = pools.usableCapacityOf(pool)
-		return capacity === 0 || queue.costMs(pool) / capacity > FORWARD_AFTER_MS
+		return capacity === 0 || queue.costMs(pool) / capacity > MIN_WAIT_TO_FORWARD_MS
 	}
 
-	function findPlace(attempt: Waiting): Place | undefined {
+	function findPlace(attempt: WaitingAttempt): Place | undefined {
 		const racks = attempt.spreadRacks ? running.racksOf(attempt.key) : new Map<string, number>()
 		const target = pools.pick(attempt, racks)
 		if (target) return target
@@ -115,17 +115,17 @@
 	}
 
 	/** Places queued attempts and sends one batch to each destination. */
-	function pumpNow() {
-		isPumpDue = false
+	function placeNow() {
+		isPlacingScheduled = false
 		const toTargets = new Map<TargetState, Attempt[]>()
 		const toPeers = new Map<string, Attempt[]>()
-		const start = (item: Waiting): boolean => {
+		const start = (item: WaitingAttempt): boolean => {
 			if (running.sizeOf(item.team) >= deps.maxRunning(item.team)) return false
 			const place = findPlace(item)
 			if (place === undefined) return false
 			running.add({attempt: item, place, sentAt: now(), done: item.done})
 			if (isPeer(place)) {
-				rooms.noteSent(place, item)
+				rooms.recordSent(place, item)
 				addToBatch(toPeers, place, item)
 				deps.onPlaced(item, `peer ${place}`, "no room here, the peer reported room")
 				return true
@@ -140,48 +140,48 @@
 		for (const [peer, attempts] of toPeers) deps.forward(peer, attempts)
 	}
 
-	function schedulePump() {
-		if (isPumpDue) return
-		isPumpDue = true
-		queueMicrotask(pumpNow)
+	function schedulePlacing() {
+		if (isPlacingScheduled) return
+		isPlacingScheduled = true
+		queueMicrotask(placeNow)
 	}
 
 	function scheduleSweep() {
-		if (isSweepDue) return
-		isSweepDue = true
+		if (isSweepScheduled) return
+		isSweepScheduled = true
 		clock.schedule(EXPIRY_SWEEP_MS, sweepExpired)
 	}
 
-	function giveUp(item: Waiting, at: number): AttemptResult {
+	function expiredResult(item: WaitingAttempt, at: number): AttemptResult {
 		return item.deadlineAt <= at
 			? {type: "not started", reason: "deadline", detail: "no place before the deadline"}
 			: {type: "not started", reason: "peer full", detail: "no room at the peer"}
 	}
 
 	function sweepExpired() {
-		isSweepDue = false
+		isSweepScheduled = false
 		const at = now()
-		for (const item of queue.remove(waiting => waiting.waitsUntil <= at))
-			item.done(giveUp(item, at))
+		for (const item of queue.remove(waiting => waiting.expiresAt <= at))
+			item.done(expiredResult(item, at))
 		if (queue.size() === 0) return
-		schedulePump()
+		schedulePlacing()
 		scheduleSweep()
 	}
 
 	/** Blocks a target for a moment after a refusal, or treats it as leaving. */
-	function observeRefusal(state: TargetState, pool: string, reason: string) {
+	function recordRefusal(state: TargetState, pool: string, reason: string) {
 		const health = pools.healthOf(pool)
 		health.endProbe(state.target.id)
 		if (reason === "busy" || reason === "refused") state.blockedUntil = now() + BUSY_BLOCK_MS
-		if (reason === "leaving") state.leavingUntil = now() + LEAVING_MEMORY_MS
+		if (reason === "leaving") state.leavingUntil = now() + LEAVING_TTL_MS
 		if (reason === "refused") {
 			health.observe({target: state.target.id, failed: true, slowness: 1})
 		}
 	}
 
-	function observe(item: Running, state: TargetState, result: AttemptResult) {
+	function recordResult(item: Running, state: TargetState, result: AttemptResult) {
 		const {pool, kind} = item.attempt
-		if (result.type === "not started") return observeRefusal(state, pool, result.reason)
+		if (result.type === "not started") return recordRefusal(state, pool, result.reason)
 		const tookMs = now() - item.sentAt
 		const slowness = tookMs / Math.max(1, estimates.expectedMs(kind))
 		const failed = result.type !== "ok"
@@ -206,34 +206,34 @@
 	return {
 		setTargets(targets) {
 			pools.set(targets)
-			schedulePump()
+			schedulePlacing()
 		},
 		admit: query =>
-			admitTo(query, deps, {
+			checkAdmission(query, deps, {
 				total: queue.size(),
 				inPool: queue.sizeIn(query.pool),
 				ofTeam: queue.sizeOf(query.team) + running.sizeOf(query.team),
 				waitMs: expectedWaitMs(query.pool),
 			}),
 		submit(attempt, done) {
-			if (attempt.isForwarded && !pools.couldRun(attempt)) {
+			if (attempt.isForwarded && !pools.hasFittingTarget(attempt)) {
 				return done({type: "not started", reason: "peer full", detail: "no target here fits"})
 			}
 			const queuedAt = now()
-			const patientUntil = attempt.isForwarded ? queuedAt + FORWARDED_PATIENCE_MS : Infinity
-			const waitsUntil = Math.min(attempt.deadlineAt, patientUntil)
-			queue.push({...attempt, done, queuedAt, waitsUntil})
-			schedulePump()
+			const maxWaitUntil = attempt.isForwarded ? queuedAt + MAX_FORWARDED_WAIT_MS : Infinity
+			const expiresAt = Math.min(attempt.deadlineAt, maxWaitUntil)
+			queue.push({...attempt, done, queuedAt, expiresAt})
+			schedulePlacing()
 			scheduleSweep()
 		},
 		settle(id, result) {
 			const item = running.take(id)
 			if (!item) return deps.count("wasted.late_answer")
-			if (queue.size() > 0) schedulePump()
+			if (queue.size() > 0) schedulePlacing()
 			const wasStopped = stopping.delete(id)
 			if (isPeer(item.place)) return item.done(result)
 			if (wasStopped) pools.healthOf(item.attempt.pool).endProbe(item.place.target.id)
-			else observe(item, item.place, result)
+			else recordResult(item, item.place, result)
 			const isAtFault = result.type === "failed" || result.type === "unknown"
 			item.done(isAtFault ? {...result, target: item.place.target.id} : result)
 		},
@@ -254,11 +254,11 @@
 		roomIn,
 		rooms: () => new Map([...pools.names()].map(pool => [pool, roomIn(pool)])),
 		onPeerRoomReport(peer, pool) {
-			rooms.noteReport(peer, pool)
-			if (queue.size() > 0) schedulePump()
+			rooms.resetSent(peer, pool)
+			if (queue.size() > 0) schedulePlacing()
 		},
 		placeQueued: () => {
-			if (queue.size() > 0) schedulePump()
+			if (queue.size() > 0) schedulePlacing()
 		},
 		snapshot: () => ({
 			queued: queue.size(),
--- a/packages/core/src/core/scheduler/target-pools.ts
+++ b/packages/core/src/core/scheduler/target-pools.ts
@@ -8,8 +8,8 @@
 	costOf,
 	isFitting,
 	isLeaving,
-	isOpen,
-	newTargetState,
+	canAccept,
+	createTargetState,
 	type TargetState,
 } from "./target-state.js"
 
@@ -22,7 +22,7 @@
 	 */
 	pick(attempt: Attempt, racks: ReadonlyMap<string, number>): TargetState | undefined
 	/** Returns whether any target could run an attempt when idle. */
-	couldRun(attempt: Attempt): boolean
+	hasFittingTarget(attempt: Attempt): boolean
 	healthOf(pool: string): Health
 	/** Free processors (slots) of the usable targets of a pool. */
 	freeIn(pool: string): number
@@ -57,13 +57,13 @@
 		return health
 	}
 
-	function keepOrAdd(target: Target) {
+	function upsertTarget(target: Target) {
 		const pool = poolOf(target)
 		const states = pools.get(pool) ?? new Map<string, TargetState>()
 		pools.set(pool, states)
 		const known = states.get(target.id)
 		if (known) known.target = target
-		else states.set(target.id, newTargetState(target))
+		else states.set(target.id, createTargetState(target))
 	}
 
 	/** Sums a value over the targets that are neither leaving nor set aside. */
@@ -79,7 +79,7 @@
 
 	return {
 		set(targets) {
-			for (const target of targets) keepOrAdd(target)
+			for (const target of targets) upsertTarget(target)
 			const kept = new Set(targets.map(target => target.id))
 			for (const [pool, states] of pools) {
 				for (const id of states.keys()) {
@@ -96,7 +96,7 @@
 			let bestCost = Infinity
 			let ties = 1
 			for (const state of statesOf(attempt.pool)) {
-				if (!isOpen(state, attempt, health, now)) continue
+				if (!canAccept(state, attempt, health, now)) continue
 				const cost = costOf(state, attempt, racks)
 				if (cost > bestCost) continue
 				// Breaks ties evenly in one pass: the n-th tie wins with probability 1/n.
@@ -107,7 +107,7 @@
 			}
 			return best
 		},
-		couldRun(attempt) {
+		hasFittingTarget(attempt) {
 			for (const state of statesOf(attempt.pool)) if (isFitting(state, attempt)) return true
 			return false
 		},
--- a/packages/core/src/core/scheduler/target-state.ts
+++ b/packages/core/src/core/scheduler/target-state.ts
@@ -21,19 +21,19 @@
 const PREFER_BONUS = 1
 const RACK_PENALTY = 0.25
 
-export function newTargetState(target: Target): TargetState {
+export function createTargetState(target: Target): TargetState {
 	const used = {cpu: 0, memoryMb: 0, accelerators: 0}
 	return {target, used, running: 0, blockedUntil: 0, leavingUntil: 0}
 }
 
-export function occupy(state: TargetState, need: Resources) {
+export function allocate(state: TargetState, need: Resources) {
 	state.running++
 	state.used.cpu += need.cpu
 	state.used.memoryMb += need.memoryMb
 	state.used.accelerators += need.accelerators
 }
 
-export function vacate(state: TargetState, need: Resources) {
+export function release(state: TargetState, need: Resources) {
 	state.running--
 	state.used.cpu -= need.cpu
 	state.used.memoryMb -= need.memoryMb
@@ -68,7 +68,12 @@
 }
 
 /** Returns whether an attempt may be sent to a target now. */
-export function isOpen(state: TargetState, attempt: Attempt, health: Health, now: number): boolean {
+export function canAccept(
+	state: TargetState,
+	attempt: Attempt,
+	health: Health,
+	now: number,
+): boolean {
 	const {target} = state
 	if (!hasRoom(state, attempt.need)) return false
 	if (isLeaving(state, now) || now < state.blockedUntil) return false
--- a/packages/core/src/utils/clock.ts
+++ b/packages/core/src/utils/clock.ts
@@ -31,12 +31,12 @@
 
 /** Creates the clock of the process. */
 export function createSystemClock(): SystemClock {
-	let count: SuspensionCount | undefined
+	let suspensionCount: SuspensionCount | undefined
 	const timers = new Set<Timer>()
 
 	function now(): number {
-		const steady = performance.now()
-		return count ? steady + count.suspendedMs(steady) : steady
+		const monotonicMs = performance.now()
+		return suspensionCount ? monotonicMs + suspensionCount.suspendedMs(monotonicMs) : monotonicMs
 	}
 
 	/** Fires the timers that fell due during a suspension, while the runtime's timers stood still. */
@@ -70,8 +70,8 @@
 		sleep: (ms: number) => new Promise<void>(resolve => void schedule(ms, resolve)),
 		schedule,
 		countSuspensions(sinceBoot: () => number, onSuspension: (ms: number) => void) {
-			count = createSuspensionCount({
-				steady: () => performance.now(),
+			suspensionCount = createSuspensionCount({
+				monotonic: () => performance.now(),
 				wall: () => Date.now(),
 				sinceBoot,
 				onSuspension(ms) {
--- a/packages/core/src/utils/hash.ts
+++ b/packages/core/src/utils/hash.ts
@@ -12,7 +12,7 @@
 }
 
 /** Orders members by their score for a key, best first (rendezvous hashing). */
-export function rank(key: string, members: readonly string[]): readonly string[] {
+export function rankByRendezvous(key: string, members: readonly string[]): readonly string[] {
 	return members
 		.map(member => ({member, score: h32(`${member}|${key}`)}))
 		.sort((a, b) => b.score - a.score || (a.member < b.member ? -1 : 1))
@@ -20,8 +20,8 @@
 }
 
 /** Returns the member with the highest score for a key; undefined when there are no members. */
-export function rendezvous(key: string, members: readonly string[]): string | undefined {
-	return rank(key, members)[0]
+export function pickByRendezvous(key: string, members: readonly string[]): string | undefined {
+	return rankByRendezvous(key, members)[0]
 }
 
 /** Returns the digest of a body, as 32 hex digits. */
--- a/packages/core/src/utils/suspension-count.ts
+++ b/packages/core/src/utils/suspension-count.ts
@@ -11,13 +11,13 @@
  * More than any clock is corrected between two readings. Shorter suspensions add up until a check
  * finds them.
  */
-const STEP_MS = 20
+const MAX_CLOCK_CORRECTION_MS = 20
 /** Finds suspensions that a backward jump of the wall clock hides. */
-const LOOK_MS = 50
+const CHECK_INTERVAL_MS = 50
 
-export interface SuspensionReadings {
+export interface SuspensionClocks {
 	/** Milliseconds on a clock that stands still during suspensions. */
-	readonly steady: () => number
+	readonly monotonic: () => number
 	/** Wall-clock milliseconds. */
 	readonly wall: () => number
 	/** Milliseconds on a clock that goes on during suspensions and never jumps. */
@@ -27,25 +27,25 @@
 }
 
 export interface SuspensionCount {
-	/** Total milliseconds of all suspensions until now; `steady` is a current reading. */
-	suspendedMs(steady: number): number
+	/** Total milliseconds of all suspensions until now; `monotonicMs` is a current reading. */
+	suspendedMs(monotonicMs: number): number
 }
 
-export function createSuspensionCount(readings: SuspensionReadings): SuspensionCount {
-	const {steady, wall, sinceBoot, onSuspension} = readings
-	let lookedAt = steady()
+export function createSuspensionCount(clocks: SuspensionClocks): SuspensionCount {
+	const {monotonic, wall, sinceBoot, onSuspension} = clocks
+	let checkedAt = monotonic()
 	/** How far the wall clock is ahead of the monotonic clock. */
-	let wallAhead = wall() - lookedAt
+	let wallOffsetMs = wall() - checkedAt
 	/** How far the boot clock is ahead of the monotonic clock; changes only by suspensions. */
-	let bootAhead = sinceBoot() - lookedAt
+	let bootOffsetMs = sinceBoot() - checkedAt
 	let suspendedMs = 0
 
-	function look(at: number) {
-		lookedAt = at
+	function check(at: number) {
+		checkedAt = at
 		const ahead = sinceBoot() - at
-		const ms = ahead - bootAhead
-		if (ms < STEP_MS) return
-		bootAhead = ahead
+		const ms = ahead - bootOffsetMs
+		if (ms < MAX_CLOCK_CORRECTION_MS) return
+		bootOffsetMs = ahead
 		suspendedMs += ms
 		onSuspension(ms)
 	}
@@ -53,9 +53,9 @@
 	return {
 		suspendedMs(at) {
 			const ahead = wall() - at
-			const hasMoved = Math.abs(ahead - wallAhead) > STEP_MS
-			wallAhead = ahead
-			if (hasMoved || at - lookedAt > LOOK_MS) look(at)
+			const hasMoved = Math.abs(ahead - wallOffsetMs) > MAX_CLOCK_CORRECTION_MS
+			wallOffsetMs = ahead
+			if (hasMoved || at - checkedAt > CHECK_INTERVAL_MS) check(at)
 			return suspendedMs
 		},
 	}
--- a/packages/core/test/fair-queue.test.ts
+++ b/packages/core/test/fair-queue.test.ts
@@ -1,7 +1,7 @@
-import {createFairQueue, type Queued} from "@cottonwood/core"
+import {createFairQueue, type QueueItem} from "@cottonwood/core"
 import {expect} from "chai"
 
-interface Item extends Queued {
+interface Item extends QueueItem {
 	readonly name: string
 }
 
--- a/packages/core/test/owner-interleavings.test.ts
+++ b/packages/core/test/owner-interleavings.test.ts
@@ -1,4 +1,4 @@
-import {STALL_MS, submissionKey} from "@cottonwood/core"
+import {STORE_STALL_MS, submissionKey} from "@cottonwood/core"
 import {expect} from "chai"
 import fc from "fast-check"
 import {
@@ -34,7 +34,7 @@
 	if (takeover === "idle" || takeover === "listing") steps.push(() => world.list())
 	if (takeover === "sealing") steps.push(() => world.seal())
 	if (takeover === "sealed") steps.push(() => world.serve())
-	if (pick % 29 === 0) steps.push(() => world.stall(STALL_MS))
+	if (pick % 29 === 0) steps.push(() => world.stall(STORE_STALL_MS))
 	if (pick % 41 === 0 && world.alive.a) steps.push(() => world.crash("a"))
 	return steps
 }
--- a/packages/core/test/owner-traces.test.ts
+++ b/packages/core/test/owner-traces.test.ts
@@ -1,4 +1,4 @@
-import {STALL_MS} from "@cottonwood/core"
+import {STORE_STALL_MS} from "@cottonwood/core"
 import {ownerProtocol, tracesTo, type OwnerEvent, type OwnerState} from "@cottonwood/spec"
 import {expect} from "chai"
 import {createTwoSessions, type TwoSessions} from "./support/two-sessions.js"
@@ -24,7 +24,7 @@
 		case "timeout":
 			return world.timeout(event.session)
 		case "giveUp":
-			return world.stall(STALL_MS)
+			return world.stall(STORE_STALL_MS)
 		case "crash":
 			return world.crash(event.session)
 		case "list":
--- a/packages/core/test/policy.test.ts
+++ b/packages/core/test/policy.test.ts
@@ -4,7 +4,7 @@
 	createHealth,
 	createRetryBudget,
 	emptyOwnership,
-	mintedAt,
+	creationTimeOf,
 	moveShards,
 	planOwnership,
 	splitKey,
@@ -154,8 +154,8 @@
 	})
 
 	it("reads the mint time of a UUID version 7 alone", () => {
-		expect(mintedAt("017f22e2-79b0-7cc3-98c4-dc0c0c07398f")).to.equal(1_645_557_742_000)
-		expect(mintedAt("017f22e2-79b0-4cc3-98c4-dc0c0c07398f")).to.equal(undefined)
+		expect(creationTimeOf("017f22e2-79b0-7cc3-98c4-dc0c0c07398f")).to.equal(1_645_557_742_000)
+		expect(creationTimeOf("017f22e2-79b0-4cc3-98c4-dc0c0c07398f")).to.equal(undefined)
 	})
 
 	it("shares the store's writes among the instances", () => {
--- a/packages/core/test/suspension.test.ts
+++ b/packages/core/test/suspension.test.ts
@@ -6,16 +6,16 @@
 import {expect} from "chai"
 
 function createWorld() {
-	const clocks = {steady: 1_000, wall: 1_700_000_000_000, boot: 50_000}
-	const heard: number[] = []
+	const clocks = {monotonic: 1_000, wall: 1_700_000_000_000, boot: 50_000}
+	const suspensions: number[] = []
 	const count = createSuspensionCount({
-		steady: () => clocks.steady,
+		monotonic: () => clocks.monotonic,
 		wall: () => clocks.wall,
 		sinceBoot: () => clocks.boot,
-		onSuspension: ms => void heard.push(ms),
+		onSuspension: ms => void suspensions.push(ms),
 	})
 	function pass(ms: number) {
-		clocks.steady += ms
+		clocks.monotonic += ms
 		clocks.wall += ms
 		clocks.boot += ms
 	}
@@ -23,12 +23,18 @@
 		clocks.wall += ms
 		clocks.boot += ms
 	}
-	return {clocks, heard, pass, suspend, suspendedMs: () => count.suspendedMs(clocks.steady)}
+	return {
+		clocks,
+		suspensions,
+		pass,
+		suspend,
+		suspendedMs: () => count.suspendedMs(clocks.monotonic),
+	}
 }
 
 describe("suspensions", () => {
 	it("count from the first reading after them", () => {
-		const {pass, suspend, suspendedMs, heard} = createWorld()
+		const {pass, suspend, suspendedMs, suspensions} = createWorld()
 		pass(10)
 		expect(suspendedMs()).to.equal(0)
 		suspend(3_000)
@@ -36,18 +42,18 @@
 		pass(500)
 		suspend(700)
 		expect(suspendedMs()).to.equal(3_700)
-		expect(heard).to.eql([3_000, 700])
+		expect(suspensions).to.eql([3_000, 700])
 	})
 
 	it("are not seen in jumps of the time of day, ahead or back", () => {
-		const {clocks, pass, suspendedMs, heard} = createWorld()
+		const {clocks, pass, suspendedMs, suspensions} = createWorld()
 		for (const jump of [2_000, -2_000, 86_400_000, -3_000]) {
 			clocks.wall += jump
 			expect(suspendedMs()).to.equal(0)
 			pass(200)
 			expect(suspendedMs()).to.equal(0)
 		}
-		expect(heard).to.eql([])
+		expect(suspensions).to.eql([])
 	})
 
 	it("are found when the time of day jumped as well, at the latest with the next look", () => {
