--- a/packages/core/test/owner-interleavings.test.ts
+++ b/packages/core/test/owner-interleavings.test.ts
@@ -16,14 +16,14 @@
 type Step = () => Promise<void>
 
 /** The steps that are possible now. */
-function stepsOf(world: TwoSessions, pick: number): readonly Step[] {
+function possibleSteps(world: TwoSessions, pick: number): readonly Step[] {
 	const steps: Step[] = []
 	const key = KEYS[pick % KEYS.length]!
 	const isAdmitted = pick % 4 !== 0
 	for (const name of ["a", "b"] as const satisfies readonly SessionName[]) {
 		if (world.alive[name]) steps.push(() => world.arrive(name, key, isAdmitted))
 		const message = world.message(name)
-		if (message?.isOnWay) {
+		if (message?.isInFlight) {
 			steps.push(() => world.storeTakes(name, true))
 			steps.push(() => world.storeTakes(name, false))
 			steps.push(() => world.storeDrops(name))
@@ -41,16 +41,16 @@
 
 function findViolation(world: TwoSessions): string | undefined {
 	for (const [key, count] of world.starts) if (count > 1) return `${key} started ${count} times`
-	const lie = world.copies.find(
+	const falseRefusal = world.copies.find(
 		copy => copy.answer === "not run" && world.starts.has(submissionKey("caller", copy.key)),
 	)
-	return lie && `${lie.key} was answered "not run" and started`
+	return falseRefusal && `${falseRefusal.key} was answered "not run" and started`
 }
 
 async function runInterleaving(choices: readonly number[], guards: Guards) {
 	const world = createTwoSessions(guards)
 	for (const choice of choices) {
-		const steps = stepsOf(world, choice)
+		const steps = possibleSteps(world, choice)
 		await steps[choice % steps.length]!()
 		const violation = findViolation(world)
 		if (violation) throw new Error(violation)
--- a/packages/core/test/support/two-sessions.ts
+++ b/packages/core/test/support/two-sessions.ts
@@ -28,7 +28,7 @@
 	readonly resolve: (result: CreateResult) => void
 	answer?: CreateResult
 	/** Whether the store still has the message before it. */
-	isOnWay: boolean
+	isInFlight: boolean
 }
 
 export interface CopyState {
@@ -36,7 +36,7 @@
 	answer: "held" | "not run" | "unknown" | "value"
 }
 
-const LAZY_NEVER = Number.MAX_SAFE_INTEGER
+const NEVER_MS = Number.MAX_SAFE_INTEGER
 
 /** A clock that moves only when told to; sleeps end at once. */
 function manualClock() {
@@ -86,7 +86,7 @@
 	let takeover: "idle" | "listing" | "sealing" | "sealed" | "done" = "idle"
 	let sealedRecords: readonly JournalRecord[] = []
 
-	function takeEntry(name: SessionName, seq: number, entry: JournalEntry): CreateResult {
+	function createEntry(name: SessionName, seq: number, entry: JournalEntry): CreateResult {
 		const present = stored[name][seq]
 		if (present) return {type: "exists", entry: present}
 		stored[name][seq] = entry
@@ -99,11 +99,11 @@
 			clock,
 			random: () => 0,
 			spacingMs: () => 0,
-			lazyMs: LAZY_NEVER,
+			lazyMs: NEVER_MS,
 			guards: {readBack: guards.readBack ?? true},
 			onSealed: () => void (owns[name] = false),
 			create: (seq, entry) =>
-				new Promise(resolve => (messages[name] = {seq, entry, resolve, isOnWay: true})),
+				new Promise(resolve => (messages[name] = {seq, entry, resolve, isInFlight: true})),
 		})
 		const owner = createOwner({
 			clock,
@@ -147,7 +147,7 @@
 			create: (_session, seq, entry) =>
 				new Promise(resolve => {
 					takeover = "sealing"
-					sealWaiter = () => resolve(takeEntry("a", seq, entry))
+					sealWaiter = () => resolve(createEntry("a", seq, entry))
 				}),
 		}).then(records => {
 			sealedRecords = records ?? []
@@ -177,13 +177,13 @@
 		},
 		async storeTakes(name: SessionName, answers: boolean) {
 			const message = messages[name]!
-			message.isOnWay = false
-			const result = takeEntry(name, message.seq, message.entry)
+			message.isInFlight = false
+			const result = createEntry(name, message.seq, message.entry)
 			if (answers) message.answer = result
 			await settle()
 		},
 		async storeDrops(name: SessionName) {
-			messages[name]!.isOnWay = false
+			messages[name]!.isInFlight = false
 			await settle()
 		},
 		async answerArrives(name: SessionName) {
