--- a/packages/core/test/fair-queue.test.ts
+++ b/packages/core/test/fair-queue.test.ts
@@ -29,7 +29,7 @@
 }
 
 describe("the fair queue", () => {
-	it("goes by deadline within a team", () => {
+	it("orders by deadline within a team", () => {
 		const queue = createFairQueue<Item>()
 		queue.push(item("late", "a", {deadlineAt: 900}))
 		queue.push(item("soon", "a", {deadlineAt: 100}))
@@ -53,7 +53,7 @@
 		expect(taken.filter(name => name === "h").length).to.be.within(29, 31)
 	})
 
-	it("passes over a shape that fits nowhere now", () => {
+	it("skips a shape that fits nowhere now", () => {
 		const queue = createFairQueue<Item>()
 		queue.push(item("huge", "a", {shape: "huge", deadlineAt: 1}))
 		queue.push(item("small", "a"))
@@ -66,7 +66,7 @@
 		expect(queue.size()).to.equal(1)
 	})
 
-	it("knows what waits for each pool, also after removals", () => {
+	it("tracks the load of each pool, also after removals", () => {
 		const queue = createFairQueue<Item>()
 		queue.push(item("w", "a"))
 		queue.push(item("e", "a", {pool: "endpoint:x", costMs: 40}))
--- a/packages/core/test/owner-interleavings.test.ts
+++ b/packages/core/test/owner-interleavings.test.ts
@@ -73,7 +73,7 @@
 	})
 
 	for (const guard of ["intentFirst", "readBack", "seal"] as const) {
-		it(`is seen to fail without the guard ${guard}`, async () => {
+		it(`fails without the guard ${guard}`, async () => {
 			const result = await check({[guard]: false})
 			expect(result.failed).to.equal(true)
 		})
--- a/packages/core/test/policy.test.ts
+++ b/packages/core/test/policy.test.ts
@@ -31,13 +31,13 @@
 const TARGETS = ["a", "b", "c", "d", "e"]
 
 describe("the health of targets", () => {
-	it("sets aside a target that fails what its peers do well", () => {
+	it("sets aside a target that fails where its peers succeed", () => {
 		const {health, run} = healthOf()
 		for (let i = 0; i < 6; i++) for (const target of TARGETS) run(target, target === "a")
 		expect(TARGETS.filter(target => health.isAside(target))).to.deep.equal(["a"])
 	})
 
-	it("sets nobody aside when a task fails everywhere", () => {
+	it("sets no target aside when a task fails everywhere", () => {
 		const {health, run} = healthOf()
 		for (let i = 0; i < 10; i++) for (const target of TARGETS) run(target, true)
 		expect(health.asideCount()).to.equal(0)
@@ -130,7 +130,7 @@
 		expect(planOwnership(map, view("s1", ["s1"], ["s1", "dead"])).claims).to.deep.equal([])
 	})
 
-	it("gives up the shards of a draining session", () => {
+	it("releases the shards of a draining session", () => {
 		const moves = Array.from({length: SHARD_COUNT}, (_, shard) => ({shard, to: "old"}))
 		const map = moveShards(emptyOwnership(), moves, "n", 0, 1_000)
 		const {releases} = planOwnership(map, view("old", ["new"], ["old", "new"]))
@@ -153,7 +153,7 @@
 		expect(splitKey(submissionKey("a/b", "c d"))).to.deep.equal({caller: "a/b", id: "c d"})
 	})
 
-	it("reads the mint time of a UUID version 7 alone", () => {
+	it("reads the creation time of a UUID version 7 only", () => {
 		expect(creationTimeOf("017f22e2-79b0-7cc3-98c4-dc0c0c07398f")).to.equal(1_645_557_742_000)
 		expect(creationTimeOf("017f22e2-79b0-4cc3-98c4-dc0c0c07398f")).to.equal(undefined)
 	})
--- a/packages/core/test/scheduler.test.ts
+++ b/packages/core/test/scheduler.test.ts
@@ -112,7 +112,7 @@
 })
 
 describe("the scheduler", () => {
-	it("never sends to a full target knowingly, and places what waits when room comes back", async () => {
+	it("sends nothing to a full target, and places waiting attempts when it has room again", async () => {
 		const world = createWorld()
 		world.scheduler.setTargets([worker("w1")])
 		const items = [attempt(), attempt(), attempt()]
@@ -130,7 +130,7 @@
 		expect(world.forwarded).to.deep.equal([{peer: "e2", ids: [item.id]}])
 	})
 
-	it("forwards what has waited here, own failure domain first", async () => {
+	it("forwards attempts that have waited, own failure domain first", async () => {
 		const world = createWorld([roomAt("far", 9, false), roomAt("near", 1)])
 		world.scheduler.setTargets([worker("w1")])
 		for (let i = 0; i < 3; i++) await world.submit(attempt({costMs: 1}))
@@ -149,7 +149,7 @@
 		expect(world.forwarded).to.have.length(2)
 	})
 
-	it("gives a peer's attempt back at once when nothing here fits, and later when it stays full", async () => {
+	it("returns a peer's attempt at once when no target fits, and later when all stay full", async () => {
 		const world = createWorld()
 		world.scheduler.setTargets([worker("w1", {capacity: {cpu: 1, memoryMb: 100, accelerators: 0}})])
 		const huge = {cpu: 9, memoryMb: 1, accelerators: 0}
@@ -163,7 +163,7 @@
 		expect(world.results.get(late.id)).to.include({type: "not started", reason: "peer full"})
 	})
 
-	it("spreads a job over racks on request and keeps accelerators for those who need them", async () => {
+	it("spreads a job over racks on request and keeps accelerators for tasks that need them", async () => {
 		const world = createWorld()
 		world.scheduler.setTargets([
 			worker("w1", {rack: "r1", capacity: {cpu: 8, memoryMb: 1_000, accelerators: 0}}),
@@ -179,7 +179,7 @@
 		expect(world.sent.at(-1)!.target).to.equal("gpu")
 	})
 
-	it("refuses at once what cannot meet its deadline, with a time to come back", async () => {
+	it("refuses attempts that cannot meet their deadline, with a retry-after time", async () => {
 		const world = createWorld()
 		world.scheduler.setTargets([worker("w1")])
 		for (let i = 0; i < 40; i++) await world.submit(attempt({costMs: 1_000}))
@@ -205,7 +205,7 @@
 		expect(world.results.has(other.id)).to.equal(false)
 	})
 
-	it("does not hold a stopped attempt against its target", async () => {
+	it("does not count a stopped attempt against its target's health", async () => {
 		const world = createWorld()
 		const names = ["w1", "w2", "w3", "w4", "w5"]
 		world.scheduler.setTargets(names.map(name => worker(name)))
--- a/packages/core/test/suspension.test.ts
+++ b/packages/core/test/suspension.test.ts
@@ -45,7 +45,7 @@
 		expect(suspensions).to.eql([3_000, 700])
 	})
 
-	it("are not seen in jumps of the time of day, ahead or back", () => {
+	it("are not seen in jumps of the wall clock, forward or back", () => {
 		const {clocks, pass, suspendedMs, suspensions} = createWorld()
 		for (const jump of [2_000, -2_000, 86_400_000, -3_000]) {
 			clocks.wall += jump
@@ -56,7 +56,7 @@
 		expect(suspensions).to.eql([])
 	})
 
-	it("are found when the time of day jumped as well, at the latest with the next look", () => {
+	it("are found when the wall clock jumped as well, at the latest at the next check", () => {
 		const both = createWorld()
 		both.suspend(3_000)
 		both.clocks.wall += 2_000
@@ -68,7 +68,7 @@
 		expect(hidden.suspendedMs()).to.equal(3_000)
 	})
 
-	it("are not made up from clocks that are corrected in small steps", () => {
+	it("are not inferred from clocks that are corrected in small steps", () => {
 		const {clocks, pass, suspendedMs} = createWorld()
 		for (let at = 0; at < 1_000; at++) {
 			pass(40)
