--- a/packages/core/src/core/budget.ts
+++ b/packages/core/src/core/budget.ts
@@ -1,5 +1,6 @@
 /**
- * Rate limits: the retry budgets, and the spacing of writes to the store.
+ * Rate limits: retry budgets for the runs of submissions, and the spacing of an instance's writes
+ * to the store.
  */
 
 const MS_PER_SECOND = 1_000
--- a/packages/core/src/core/estimates.ts
+++ b/packages/core/src/core/estimates.ts
@@ -1,6 +1,6 @@
 /**
- * Estimates of run times per kind of work, learned from observed runs. Declared run times are
- * unreliable.
+ * Estimates of run times per kind of work, learned from observed runs. Used for admission, hedging
+ * and the detection of slow targets, since declared run times are unreliable.
  */
 
 const SMOOTHING = 0.1
--- a/packages/core/src/core/explain.ts
+++ b/packages/core/src/core/explain.ts
@@ -1,5 +1,6 @@
 /**
- * A bounded in-memory log of the decisions taken for each submission, read by `explain`.
+ * A bounded in-memory log of the decisions taken for each submission, written by the owner and the
+ * runs of submissions and read by `explain`.
  */
 import type {SubmissionKey} from "../types/types-external.js"
 
--- a/packages/core/src/core/ids.ts
+++ b/packages/core/src/core/ids.ts
@@ -1,5 +1,6 @@
 /**
- * Submission keys and attempt ids, and the creation time in UUIDs of version 7.
+ * Submission keys and attempt ids, and the creation time in UUIDs of version 7. Used by the owner
+ * and by entry instances.
  */
 import type {SubmissionKey} from "../types/types-external.js"
 
--- a/packages/core/src/core/outcomes.ts
+++ b/packages/core/src/core/outcomes.ts
@@ -1,5 +1,6 @@
 /**
- * Converts errors to outcomes, and outcomes to the form that the journal keeps.
+ * Converts errors to outcomes, and outcomes to the form that the journal keeps. Used by the owner
+ * and by entry instances.
  */
 import type {KeptOutcome} from "../types/types-internal.js"
 import type {Outcome, RunStatus} from "../types/types-external.js"
--- a/packages/core/src/core/scheduler/attempt.ts
+++ b/packages/core/src/core/scheduler/attempt.ts
@@ -1,5 +1,6 @@
 /**
- * An attempt, which is one try of one task, and its result.
+ * An attempt, which is one try of one task, and its result. Runs of submissions hand attempts to
+ * the scheduler.
  */
 import type {Resources, SubmissionKey, Target} from "../../types/types-external.js"
 import type {QueueItem} from "../fair-queue.js"
--- a/packages/core/src/core/scheduler/peer-rooms.ts
+++ b/packages/core/src/core/scheduler/peer-rooms.ts
@@ -18,6 +18,7 @@
 	pick(attempt: Attempt): string | undefined
 	/** Counts an attempt against the room of a peer until the peer reports again. */
 	recordSent(peer: string, attempt: Attempt): void
+	/** Forgets what was sent to a peer, in one pool or in all. */
 	resetSent(peer: string, pool?: string): void
 }
 
--- a/packages/core/src/core/scheduler/scheduler.ts
+++ b/packages/core/src/core/scheduler/scheduler.ts
@@ -45,11 +45,13 @@
 	admit(query: AdmissionQuery): Result<void, DispatchError>
 	/** Queues an attempt; `done` is called once, with its result. */
 	submit(attempt: Attempt, done: (result: AttemptResult) => void): void
+	/** Reports the result of an attempt that was sent. */
 	settle(id: string, result: AttemptResult): void
 	/** Cancels all attempts of a key: removes queued ones, and sends a stop for running ones. */
 	cancel(key: SubmissionKey): void
 	/** Free processors (slots) for peers: free capacity less what is queued here. */
 	roomIn(pool: string): number
+	/** `roomIn` for each pool. */
 	rooms(): ReadonlyMap<string, number>
 	/** Handles a peer's report of its room, which includes all attempts sent before it. */
 	onPeerRoomReport(peer: string, pool?: string): void
--- a/packages/core/src/types/store.ts
+++ b/packages/core/src/types/store.ts
@@ -45,9 +45,12 @@
 export interface Store {
 	/** Resolves with `null` when the key is absent, and with `undefined` without an answer. */
 	get(key: string): Promise<StoreItem | null | undefined>
+	/** Resolves with `undefined` without an answer. */
 	list(prefix: string): Promise<StoreListing | undefined>
 	put(key: string, value: unknown, options?: PutOptions): Promise<PutResult>
+	/** Resolves with false unless all keys are certainly deleted. */
 	deletePrefix(prefix: string): Promise<boolean>
+	/** Resolves with the id of the lease, or with `undefined` without an answer. */
 	grantLease(ttlMs: number): Promise<string | undefined>
 	keepAlive(lease: string): Promise<"alive" | "gone" | "unknown">
 	revoke(lease: string): Promise<void>
--- a/packages/core/src/utils/backoff.ts
+++ b/packages/core/src/utils/backoff.ts
@@ -1,5 +1,5 @@
 /**
- * Delays between tries.
+ * Delays between tries, with jitter.
  */
 
 /**
--- a/packages/core/src/utils/errors.ts
+++ b/packages/core/src/utils/errors.ts
@@ -1,7 +1,6 @@
 /**
  * The error kinds. Each has an HTTP status, what is certain about the work (`ran`), and what the
- * caller should do next. Entry instances take the status codes of their error answers only from
- * here.
+ * caller should do next. Entry instances answer errors by this table.
  */
 import {err, type Result} from "neverthrow"
 import type {RunStatus} from "../types/types-external.js"
--- a/packages/core/src/utils/hash.ts
+++ b/packages/core/src/utils/hash.ts
@@ -1,5 +1,6 @@
 /**
- * Hash functions: a fast one to distribute keys, and a cryptographic one to compare bodies.
+ * Hash functions: a fast one to assign shards and targets, and a cryptographic one to compare
+ * bodies.
  */
 import {createHash} from "node:crypto"
 import xxhash from "xxhash-wasm"
