--- a/packages/core/test/policy.test.ts
+++ b/packages/core/test/policy.test.ts
@@ -25,7 +25,7 @@
 	})
 	const run = (target: string, failed: boolean, slowness = 1) =>
 		health.observe({target, failed, slowness})
-	return {health, changes, run, pass: (ms: number) => void (now += ms)}
+	return {health, changes, run, advance: (ms: number) => void (now += ms)}
 }
 
 const TARGETS = ["a", "b", "c", "d", "e"]
@@ -52,10 +52,10 @@
 	})
 
 	it("probes a target back in, one probe at a time", () => {
-		const {health, run, changes, pass} = healthOf()
+		const {health, run, changes, advance} = healthOf()
 		for (let i = 0; i < 6; i++) for (const target of TARGETS) run(target, target === "a")
 		expect(health.isUsable("a")).to.equal(false)
-		pass(150)
+		advance(150)
 		expect(health.isUsable("a")).to.equal(true)
 		health.beginProbe("a")
 		expect(health.isUsable("a")).to.equal(false)
--- a/packages/core/test/scheduler.test.ts
+++ b/packages/core/test/scheduler.test.ts
@@ -95,7 +95,7 @@
 			await Promise.resolve()
 			return item
 		},
-		async pass(ms: number) {
+		async advance(ms: number) {
 			now += ms
 			const due = timers.filter(timer => timer.at <= now)
 			timers = timers.filter(timer => timer.at > now)
@@ -135,7 +135,7 @@
 		world.scheduler.setTargets([worker("w1")])
 		for (let i = 0; i < 3; i++) await world.submit(attempt({costMs: 1}))
 		expect(world.forwarded).to.have.length(0)
-		await world.pass(60)
+		await world.advance(60)
 		expect(world.forwarded.map(({peer}) => peer)).to.deep.equal(["near"])
 	})
 
@@ -157,9 +157,9 @@
 		expect(world.results.get(tooLarge.id)).to.include({type: "not started", reason: "peer full"})
 		await world.submit(attempt())
 		const late = await world.submit(attempt({isForwarded: true}))
-		await world.pass(50)
+		await world.advance(50)
 		expect(world.results.has(late.id)).to.equal(false)
-		await world.pass(500)
+		await world.advance(500)
 		expect(world.results.get(late.id)).to.include({type: "not started", reason: "peer full"})
 	})
 
--- a/packages/core/test/suspension.test.ts
+++ b/packages/core/test/suspension.test.ts
@@ -14,7 +14,7 @@
 		sinceBoot: () => clocks.boot,
 		onSuspension: ms => void suspensions.push(ms),
 	})
-	function pass(ms: number) {
+	function advance(ms: number) {
 		clocks.monotonic += ms
 		clocks.wall += ms
 		clocks.boot += ms
@@ -26,7 +26,7 @@
 	return {
 		clocks,
 		suspensions,
-		pass,
+		advance,
 		suspend,
 		suspendedMs: () => count.suspendedMs(clocks.monotonic),
 	}
@@ -34,23 +34,23 @@
 
 describe("suspensions", () => {
 	it("count from the first reading after them", () => {
-		const {pass, suspend, suspendedMs, suspensions} = createWorld()
-		pass(10)
+		const {advance, suspend, suspendedMs, suspensions} = createWorld()
+		advance(10)
 		expect(suspendedMs()).to.equal(0)
 		suspend(3_000)
 		expect(suspendedMs()).to.equal(3_000)
-		pass(500)
+		advance(500)
 		suspend(700)
 		expect(suspendedMs()).to.equal(3_700)
 		expect(suspensions).to.eql([3_000, 700])
 	})
 
 	it("are not seen in jumps of the wall clock, forward or back", () => {
-		const {clocks, pass, suspendedMs, suspensions} = createWorld()
+		const {clocks, advance, suspendedMs, suspensions} = createWorld()
 		for (const jump of [2_000, -2_000, 86_400_000, -3_000]) {
 			clocks.wall += jump
 			expect(suspendedMs()).to.equal(0)
-			pass(200)
+			advance(200)
 			expect(suspendedMs()).to.equal(0)
 		}
 		expect(suspensions).to.eql([])
@@ -64,14 +64,14 @@
 		const hidden = createWorld()
 		hidden.suspend(3_000)
 		hidden.clocks.wall -= 3_000
-		hidden.pass(51)
+		hidden.advance(51)
 		expect(hidden.suspendedMs()).to.equal(3_000)
 	})
 
 	it("are not inferred from clocks that are corrected in small steps", () => {
-		const {clocks, pass, suspendedMs} = createWorld()
+		const {clocks, advance, suspendedMs} = createWorld()
 		for (let at = 0; at < 1_000; at++) {
-			pass(40)
+			advance(40)
 			clocks.wall += 1
 			suspendedMs()
 		}
