--- a/packages/core/src/core/assignment.ts
+++ b/packages/core/src/core/assignment.ts
@@ -1,15 +1,13 @@
 /**
- * Which instance places which target: rendezvous hashing with bounded load.
+ * Assigns targets to entry instances by rendezvous hashing with bounded load.
  *
- * Plain rendezvous hashing splits few targets unevenly (7 to 3 of 10 is common), while the balancer
- * sends each instance the same share of work; the instance with fewer slots then queues at 70% load.
- * The bound gives each instance at most its even share, and a change of members still moves few
- * targets.
+ * The bound caps each instance at its even share, since plain rendezvous hashing splits few targets
+ * unevenly. A change of members still moves few targets.
  */
-import {rank} from "../utils/hash.js"
+import {rankByRendezvous} from "../utils/hash.js"
 
 /**
- * Assigns each target to a member, evenly; the same on every instance that sees the same names.
+ * Returns the member of each target. Instances that know the same names compute the same result.
  *
  * @example assignEvenly(["x1", "x2"], ["e1", "e2"]).get("x1")
  */
@@ -22,7 +20,7 @@
 	const bound = Math.ceil(targets.length / members.length)
 	const loads = new Map<string, number>()
 	for (const target of [...targets].sort()) {
-		const member = rank(target, members).find(name => (loads.get(name) ?? 0) < bound)!
+		const member = rankByRendezvous(target, members).find(name => (loads.get(name) ?? 0) < bound)!
 		assigned.set(target, member)
 		loads.set(member, (loads.get(member) ?? 0) + 1)
 	}
--- a/packages/core/src/core/health.ts
+++ b/packages/core/src/core/health.ts
@@ -1,8 +1,9 @@
 /**
- * Targets that fail everything, or run far slower than their peers, are set aside and probed back.
+ * Outlier detection: targets that fail or run far slower than their peers are set aside, then
+ * probed until they recover. Used by the scheduler and by the placers of jobs.
  *
- * A target is judged against its peers for the same kind of work: a task that fails everywhere is
- * the task's fault and sets nobody aside. Only a set share of a pool is aside at once.
+ * A target is compared with its peers, so a task that fails everywhere sets no target aside. Only a
+ * configured share of a pool is aside at once.
  */
 
 const DECAY = 0.8
@@ -11,9 +12,9 @@
 const PEER_FAILING_SHARE = 0.3
 const SLOW_FACTOR = 3
 const MIN_SLOW_RUNS = 8
-const MAX_PROBE_FACTOR = 16
+const MAX_PROBE_DELAY_FACTOR = 16
 
-interface Record_ {
+interface TargetRecord {
 	runs: number
 	failures: number
 	/** Smoothed ratio of run time to the kind's expected run time. */
@@ -21,13 +22,13 @@
 	asideSince: number | undefined
 	probeAt: number
 	isProbing: boolean
-	probes: number
+	probeDelayFactor: number
 }
 
 export interface Observation {
 	readonly target: string
 	readonly failed: boolean
-	/** Run time over the kind's expected run time. */
+	/** Run time divided by the expected run time of its kind. */
 	readonly slowness: number
 }
 
@@ -40,21 +41,21 @@
 
 export interface Health {
 	observe(observation: Observation): void
-	/** Says whether work may be sent: healthy, or due for a probe. */
+	/** Returns whether work may be sent: the target is healthy or due for a probe. */
 	isUsable(target: string): boolean
 	isAside(target: string): boolean
-	/** Marks that the attempt just sent to a target set aside is its probe. */
+	/** Marks the attempt just sent as a probe if the target is set aside. */
 	beginProbe(target: string): void
-	/** Ends a probe that came to no verdict, so that another may follow. */
+	/** Ends a probe without a result, so that another may follow. */
 	endProbe(target: string): void
 	forget(target: string): void
 	asideCount(): number
 }
 
 export function createHealth(deps: HealthDeps): Health {
-	const records = new Map<string, Record_>()
+	const records = new Map<string, TargetRecord>()
 
-	function recordOf(target: string): Record_ {
+	function recordOf(target: string): TargetRecord {
 		let record = records.get(target)
 		if (!record) {
 			record = {
@@ -64,19 +65,19 @@
 				asideSince: undefined,
 				probeAt: 0,
 				isProbing: false,
-				probes: 0,
+				probeDelayFactor: 0,
 			}
 			records.set(target, record)
 		}
 		return record
 	}
 
-	/** The share of failures among the other targets. */
-	function peerFailureShare(self: Record_): number {
+	/** Returns the failure share of the other targets; 1 while they have too few runs. */
+	function peerFailureShare(subject: TargetRecord): number {
 		let runs = 0
 		let failures = 0
 		for (const record of records.values()) {
-			if (record === self || record.asideSince !== undefined) continue
+			if (record === subject || record.asideSince !== undefined) continue
 			runs += record.runs
 			failures += record.failures
 		}
@@ -89,22 +90,22 @@
 		return count
 	}
 
-	function mayPutAside(): boolean {
+	function canSetAside(): boolean {
 		const allowed = Math.max(1, Math.floor(records.size * deps.maxAsideShare()))
 		return records.size > 1 && asideCount() < allowed
 	}
 
-	function putAside(target: string, record: Record_, cause: string) {
+	function setAside(target: string, record: TargetRecord, cause: string) {
 		record.asideSince = deps.now()
 		record.probeAt = deps.now() + deps.probeAfterMs()
 		deps.onChange(target, "aside", cause)
 	}
 
-	function judgeProbe(target: string, record: Record_, seen: Observation) {
+	function evaluateProbe(target: string, record: TargetRecord, observation: Observation) {
 		record.isProbing = false
-		if (seen.failed || seen.slowness > SLOW_FACTOR) {
-			record.probes = Math.min(MAX_PROBE_FACTOR, record.probes * 2 || 1)
-			record.probeAt = deps.now() + deps.probeAfterMs() * record.probes
+		if (observation.failed || observation.slowness > SLOW_FACTOR) {
+			record.probeDelayFactor = Math.min(MAX_PROBE_DELAY_FACTOR, record.probeDelayFactor * 2 || 1)
+			record.probeAt = deps.now() + deps.probeAfterMs() * record.probeDelayFactor
 			return
 		}
 		records.delete(target)
@@ -112,30 +113,31 @@
 		deps.onChange(target, "back", "a probe succeeded")
 	}
 
-	function judge(target: string, record: Record_) {
+	function evaluate(target: string, record: TargetRecord) {
 		if (record.runs < MIN_RUNS) return
 		const share = record.failures / record.runs
 		const isFailing = share >= FAILING_SHARE && peerFailureShare(record) <= PEER_FAILING_SHARE
 		const isSlow = record.runs * DECAY >= 3 && record.slowness > SLOW_FACTOR
 		if (!isFailing && !isSlow) return
-		if (!mayPutAside()) return
+		if (!canSetAside()) return
 		const cause = isFailing
 			? `failed ${Math.round(share * 100)}% of its last runs, its peers few`
 			: `ran ${record.slowness.toFixed(1)} times slower than expected`
-		putAside(target, record, cause)
+		setAside(target, record, cause)
 	}
 
 	return {
-		observe(seen) {
-			const record = recordOf(seen.target)
+		observe(observation) {
+			const record = recordOf(observation.target)
 			if (record.asideSince !== undefined) {
-				if (record.isProbing) judgeProbe(seen.target, record, seen)
+				if (record.isProbing) evaluateProbe(observation.target, record, observation)
 				return
 			}
 			record.runs = record.runs * DECAY + 1
-			record.failures = record.failures * DECAY + (seen.failed ? 1 : 0)
-			if (!seen.failed) record.slowness += (seen.slowness - record.slowness) / MIN_SLOW_RUNS
-			judge(seen.target, record)
+			record.failures = record.failures * DECAY + (observation.failed ? 1 : 0)
+			if (!observation.failed)
+				record.slowness += (observation.slowness - record.slowness) / MIN_SLOW_RUNS
+			evaluate(observation.target, record)
 		},
 		isUsable(target) {
 			const record = records.get(target)
--- a/packages/core/src/core/owner.ts
+++ b/packages/core/src/core/owner.ts
@@ -1,11 +1,12 @@
 /**
- * The owner's side of a submission: what has been started, what was refused, what was answered.
+ * The owner of submissions: decides whether each is started, joined or refused, and keeps its
+ * outcome.
  *
  * The rules that keep a task from starting twice:
  * - work that is not repeatable starts only after its intent is durable in the journal;
- * - a key that is already known joins what is known of it and never starts again;
- * - a key whose intent stands in an inherited journal may have run, so it is never started here;
- * - a refusal that says `not run` closes the key, and is given only once the closing is durable.
+ * - a known key joins its entry and never starts again;
+ * - a key whose intent is in an inherited journal may have run, so it is never started here;
+ * - a refusal as `not run` closes the key, and is returned only once the closing is durable.
  */
 import type {Result} from "neverthrow"
 import type {Cancellation} from "../utils/cancellation.js"
@@ -15,14 +16,14 @@
 import type {JournalRecord} from "../types/types-internal.js"
 import type {Outcome, SessionId, Submission, SubmissionKey} from "../types/types-external.js"
 import type {Explainer} from "./explain.js"
-import {mintedAt, splitKey} from "./ids.js"
+import {creationTimeOf, splitKey} from "./ids.js"
 import type {Journal} from "./journal.js"
 import {failure, keptOutcome, outcomeOf} from "./outcomes.js"
 import {shardOf} from "./ownership.js"
 import {createSubmissionTable, finish, type Entry, type EntryState} from "./submission-table.js"
 
-/** Without a definite answer of the store for this long, new intents are refused at once. */
-export const STALL_MS = 1_500
+/** After this long without a definite answer of the store, new intents are refused at once. */
+export const STORE_STALL_MS = 1_500
 const STORE_RETRY_MS = 2_000
 
 export interface OwnerDeps {
@@ -30,29 +31,31 @@
 	readonly random: () => number
 	readonly isOwned: (shard: number) => boolean
 	readonly journal: () => Journal
-	/** Runs the work; called at most once for a key. */
+	/** Runs the work; called at most once per key. */
 	readonly execute: (submission: Submission, cancellation: Cancellation) => Promise<Outcome>
-	/** Refuses what cannot or should not be queued. */
+	/** Returns an error for a submission that must not be queued. */
 	readonly admit: (submission: Submission) => Result<void, DispatchError>
-	/** Asks a session that may still run an inherited submission for its outcome. */
+	/** Asks an earlier session for the outcome of an inherited submission; undefined when unknown. */
 	readonly askPastOwner: (session: SessionId, key: SubmissionKey) => Promise<Outcome | undefined>
 	readonly retentionMs: () => number
 	readonly explainer: Explainer
 	readonly count: (name: string) => void
-	/** Test hook: with `false` work starts before its intent is durable. */
+	/** Test hook: with `false`, work starts before its intent is durable. */
 	readonly guards?: {readonly intentFirst: boolean}
 }
 
 export interface Owner {
-	/** Answers one copy of a submission. */
+	/** Runs a submission, or joins the run of an earlier copy; resolves with the outcome. */
 	submit(submission: Submission): Promise<Outcome>
-	/** Returns what is known of a key: an outcome, a promise of one, or undefined. */
+	/** Returns the state and the promised outcome of a key; undefined when the key is unknown. */
 	find(
 		key: SubmissionKey,
 	): {readonly state: EntryState; readonly settled: Promise<Outcome>} | undefined
-	/** Stops a submission; resolves with its final outcome. */
+	/**
+	 * Cancels a submission; resolves with its outcome, or undefined when it is unknown or inherited.
+	 */
 	cancel(key: SubmissionKey): Promise<Outcome | undefined>
-	/** Takes over the records of a sealed or handed-over journal for the given shards. */
+	/** Adds the records of a sealed or handed-over journal for the given shards. */
 	inherit(session: SessionId, records: readonly JournalRecord[], shards: ReadonlySet<number>): void
 	/** Resolves when no submission runs. */
 	whenIdle(): Promise<void>
@@ -61,7 +64,7 @@
 }
 
 /**
- * Creates the owner's table.
+ * Creates the owner of one instance's submissions.
  *
  * @example const outcome = await owner.submit(submission)
  */
@@ -79,19 +82,20 @@
 	}
 
 	function expiredOutcome(key: SubmissionKey): Outcome | undefined {
-		const minted = mintedAt(splitKey(key).id)
-		if (minted === undefined || clock.wallNow() - minted < deps.retentionMs()) return undefined
+		const createdAt = creationTimeOf(splitKey(key).id)
+		if (createdAt === undefined || clock.wallNow() - createdAt < deps.retentionMs())
+			return undefined
 		deps.count("refusal.id_expired")
 		return failure("id_expired", "ids are kept for the retention time; use a new one")
 	}
 
-	/** Waits for an entry, but no longer than the store leaves its intent in doubt. */
+	/** Waits for the outcome of an entry, or until the write of its intent stalls. */
 	async function waitFor(entry: Entry): Promise<Outcome> {
 		entry.waiters++
 		try {
 			for (;;) {
 				if (entry.state !== "pending") return await entry.settled
-				const leftMs = STALL_MS - deps.journal().stalledMs()
+				const leftMs = STORE_STALL_MS - deps.journal().stalledMs()
 				if (leftMs <= 0) return stalledOutcome()
 				let cancel: (() => void) | undefined
 				const timeout = new Promise<void>(resolve => (cancel = clock.schedule(leftMs, resolve)))
@@ -134,7 +138,7 @@
 		if (running === 0) for (const wake of idleWaiters.splice(0)) wake()
 	}
 
-	/** Closes a submission whose intent is durable and that will not be started. */
+	/** Closes a submission that is not started although its intent is durable. */
 	function closeUnstarted(submission: Submission, entry: Entry, kind: ErrorKind, detail: string) {
 		const {key} = submission.head
 		const outcome = failure(kind, detail, {ran: "not run"})
@@ -143,7 +147,7 @@
 		deps.journal().appendLazily({type: "closed", key, outcome})
 	}
 
-	async function intendAndRun(submission: Submission, entry: Entry) {
+	async function journalIntentAndRun(submission: Submission, entry: Entry) {
 		const {key, digest, deadlineAt} = submission.head
 		const durable = await deps.journal().append({type: "intent", key, digest})
 		if (durable.isErr()) {
@@ -170,7 +174,7 @@
 		deps.count("joined")
 		explainer.add(key, "joined", `the submission is ${entry.state}`)
 		if (entry.state === "inherited") return resolveInherited(key, entry)
-		// Nothing has started, and no other session ever starts what this journal lists.
+		// Not started yet, and no other session starts a key whose intent is in this journal.
 		if (entry.state === "parked") void run(submission, entry)
 		return waitFor(entry)
 	}
@@ -194,7 +198,7 @@
 			if (known) return join(submission, known)
 			const expired = expiredOutcome(key)
 			if (expired) return expired
-			const isStalled = deps.journal().stalledMs() >= STALL_MS
+			const isStalled = deps.journal().stalledMs() >= STORE_STALL_MS
 			if (isStalled && !repeatable) return stalledOutcome()
 			const admitted = deps.admit(submission)
 			if (admitted.isErr()) return refuse(submission, admitted.error)
@@ -204,7 +208,7 @@
 			else if (deps.guards?.intentFirst === false) {
 				deps.journal().appendLazily({type: "intent", key, digest})
 				void run(submission, entry)
-			} else void intendAndRun(submission, entry)
+			} else void journalIntentAndRun(submission, entry)
 			return waitFor(entry)
 		},
 		find(key) {
--- a/packages/core/src/core/run.ts
+++ b/packages/core/src/core/run.ts
@@ -1,8 +1,8 @@
 /**
- * The run of one submission: its tasks, their retries, and the one whole answer.
+ * Runs one submission: its tasks, their retries, and the combined outcome.
  *
- * Retries live here and nowhere else. What certainly did not start is placed again until the
- * deadline. What ran or may have run is tried again only if it is marked repeatable, from the
+ * Retries are made only here. An attempt that certainly did not start is placed again until the
+ * deadline. An attempt that ran or may have run is retried only if it is repeatable, from the
  * team's retry budget.
  */
 import {DispatchError, type ErrorKind} from "../utils/errors.js"
@@ -15,10 +15,10 @@
 import type {Explainer} from "./explain.js"
 import type {Attempt, AttemptResult} from "./scheduler/attempt.js"
 
-const REPLACE_BASE_MS = 5
-const REPLACE_CAP_MS = 250
+const RETRY_BASE_MS = 5
+const RETRY_CAP_MS = 250
 
-/** One task before it becomes attempts. */
+/** The part of an attempt that is the same for every try of a task. */
 export type TaskPlan = Omit<
 	Attempt,
 	"id" | "avoid" | "isForwarded" | "key" | "task" | "team" | "deadlineAt"
@@ -67,7 +67,7 @@
 	return new Promise(resolve => deps.submit(attempt, resolve))
 }
 
-/** Runs an attempt, and a second one when it is late and hedging is on; the first answer counts. */
+/** Runs an attempt, and a second one when it is late and hedging is on; the first result counts. */
 async function runHedged(deps: RunDeps, run: TaskRun, attempt: Attempt): Promise<AttemptResult> {
 	const lateMs = deps.estimates.lateMs(attempt.kind)
 	const first = submitAttempt(deps, attempt)
@@ -115,7 +115,7 @@
 				return endOf(result, started)
 			}
 			deps.count(`retry.${result.reason.replace(" ", "_")}`)
-			await deps.clock.sleep(backoffMs(tries, REPLACE_BASE_MS, REPLACE_CAP_MS, deps.random))
+			await deps.clock.sleep(backoffMs(tries, RETRY_BASE_MS, RETRY_CAP_MS, deps.random))
 			continue
 		}
 		started = true
@@ -125,7 +125,7 @@
 		if (result.target) avoid.push(result.target)
 		deps.count(`retry.${result.type}`)
 		deps.explainer.add(key, "retried", `task ${run.index}: ${result.type}, ${result.detail}`)
-		await deps.clock.sleep(backoffMs(retries, REPLACE_BASE_MS, REPLACE_CAP_MS, deps.random))
+		await deps.clock.sleep(backoffMs(retries, RETRY_BASE_MS, RETRY_CAP_MS, deps.random))
 	}
 }
 
@@ -137,8 +137,8 @@
 	return {ok: false, kind: error.kind, detail, ran: end.ran}
 }
 
-/** What is certain about a job of which one task ended badly: worse than that task if others ran. */
-function jobRan(ends: readonly (TaskEnd | undefined)[]): RunStatus {
+/** Returns what is certain about a failed job: "not run" only when none of its tasks ran. */
+function jobRunStatus(ends: readonly (TaskEnd | undefined)[]): RunStatus {
 	const seen = ends.map(end => (end === undefined ? "unknown" : end.ok ? "failed" : end.ran))
 	if (seen.every(ran => ran === "not run")) return "not run"
 	return seen.includes("unknown") ? "unknown" : "failed"
@@ -161,7 +161,7 @@
 		stop.cancel()
 		deps.cancel(key)
 	}
-	const forget = cancellation.onCancel(stopAll)
+	const unsubscribe = cancellation.onCancel(stopAll)
 	const ends = new Array<TaskEnd | undefined>(plans.length)
 	let firstFailure: number | undefined
 	await Promise.all(
@@ -173,15 +173,15 @@
 			if (plans.length > 1) stopAll()
 		}),
 	)
-	forget()
+	unsubscribe()
 	if (firstFailure === undefined) {
 		const values = ends.map(end => (end as TaskEnd & {ok: true}).value)
 		return {ok: true, value: submission.type === "job" ? values : values[0]}
 	}
 	if (cancellation.isCancelled()) {
-		return {ok: false, kind: "cancelled", detail: "cancelled while it ran", ran: jobRan(ends)}
+		return {ok: false, kind: "cancelled", detail: "cancelled while it ran", ran: jobRunStatus(ends)}
 	}
 	const failed = ends[firstFailure] as TaskEnd & {ok: false}
 	const outcome = failureOf(submission, firstFailure, failed)
-	return {...outcome, ran: plans.length > 1 ? jobRan(ends) : failed.ran} as Outcome
+	return {...outcome, ran: plans.length > 1 ? jobRunStatus(ends) : failed.ran} as Outcome
 }
--- a/packages/core/src/core/scheduler/peer-rooms.ts
+++ b/packages/core/src/core/scheduler/peer-rooms.ts
@@ -1,21 +1,25 @@
 /**
- * The room that peers reported, less what was sent to them since.
+ * The room of peers: what they reported last, less what was sent to them since.
  */
 import type {Attempt} from "./attempt.js"
 
 export interface PeerRoom {
 	readonly id: string
 	readonly isSameDomain: boolean
-	/** Processors (slots) that the peer can give in a pool now. */
+	/** Free processors (slots) by pool. */
 	readonly free: ReadonlyMap<string, number>
 }
 
 export interface PeerRooms {
-	/** The peer with most room for an attempt, own failure domain first. */
+	/**
+	 * Returns the peer with most room for an attempt, the own failure domain first; undefined when
+	 * none has room.
+	 */
 	pick(attempt: Attempt): string | undefined
 	/** Counts an attempt against the room of a peer until the peer reports again. */
-	noteSent(peer: string, attempt: Attempt): void
-	noteReport(peer: string, pool?: string): void
+	recordSent(peer: string, attempt: Attempt): void
+	/** Forgets what was sent to a peer, in one pool or in all. */
+	resetSent(peer: string, pool?: string): void
 }
 
 export function createPeerRooms(peers: () => readonly PeerRoom[]): PeerRooms {
@@ -44,12 +48,12 @@
 			if (near !== undefined || !attempt.mayLeaveDomain) return near
 			return pickAmong(attempt, false)
 		},
-		noteSent(peer, attempt) {
+		recordSent(peer, attempt) {
 			const pools = sentSince.get(peer) ?? new Map<string, number>()
 			sentSince.set(peer, pools)
 			pools.set(attempt.pool, (pools.get(attempt.pool) ?? 0) + attempt.need.cpu)
 		},
-		noteReport(peer, pool) {
+		resetSent(peer, pool) {
 			if (pool === undefined) sentSince.delete(peer)
 			else sentSince.get(peer)?.delete(pool)
 		},
--- a/packages/core/src/core/scheduler/target-pools.ts
+++ b/packages/core/src/core/scheduler/target-pools.ts
@@ -1,5 +1,5 @@
 /**
- * The targets that this instance places, by pool, with the health of each pool.
+ * The targets of this instance by pool, with the health of each pool.
  */
 import type {Target} from "../../types/types-external.js"
 import {createHealth, type Health, type HealthDeps} from "../health.js"
@@ -8,18 +8,21 @@
 	costOf,
 	isFitting,
 	isLeaving,
-	isOpen,
-	newTargetState,
+	canAccept,
+	createTargetState,
 	type TargetState,
 } from "./target-state.js"
 
 export interface TargetPools {
-	/** Replaces the targets; those that stay keep what runs on them. */
+	/** Replaces the targets; those that stay keep their state. */
 	set(targets: readonly Target[]): void
-	/** The cheapest target that is open for an attempt. */
+	/**
+	 * Returns the target with the least cost that may take an attempt now; undefined when there is
+	 * none.
+	 */
 	pick(attempt: Attempt, racks: ReadonlyMap<string, number>): TargetState | undefined
-	/** Says whether any target here could run an attempt when it is idle. */
-	couldRun(attempt: Attempt): boolean
+	/** Returns whether any target could run an attempt when idle. */
+	hasFittingTarget(attempt: Attempt): boolean
 	healthOf(pool: string): Health
 	/** Free processors (slots) of the usable targets of a pool. */
 	freeIn(pool: string): number
@@ -54,16 +57,16 @@
 		return health
 	}
 
-	function keepOrAdd(target: Target) {
+	function upsertTarget(target: Target) {
 		const pool = poolOf(target)
 		const states = pools.get(pool) ?? new Map<string, TargetState>()
 		pools.set(pool, states)
 		const known = states.get(target.id)
 		if (known) known.target = target
-		else states.set(target.id, newTargetState(target))
+		else states.set(target.id, createTargetState(target))
 	}
 
-	/** Adds up over the targets that are neither leaving nor set aside. */
+	/** Sums a value over the targets that are neither leaving nor set aside. */
 	function sumUsable(pool: string, valueOf: (state: TargetState) => number): number {
 		const health = healthOf(pool)
 		const now = deps.now()
@@ -76,7 +79,7 @@
 
 	return {
 		set(targets) {
-			for (const target of targets) keepOrAdd(target)
+			for (const target of targets) upsertTarget(target)
 			const kept = new Set(targets.map(target => target.id))
 			for (const [pool, states] of pools) {
 				for (const id of states.keys()) {
@@ -93,10 +96,10 @@
 			let bestCost = Infinity
 			let ties = 1
 			for (const state of statesOf(attempt.pool)) {
-				if (!isOpen(state, attempt, health, now)) continue
+				if (!canAccept(state, attempt, health, now)) continue
 				const cost = costOf(state, attempt, racks)
 				if (cost > bestCost) continue
-				// Ties are broken evenly, in one pass: the n-th tie wins with chance 1/n.
+				// Breaks ties evenly in one pass: the n-th tie wins with probability 1/n.
 				ties = cost === bestCost ? ties + 1 : 1
 				if (ties > 1 && deps.random() * ties >= 1) continue
 				best = state
@@ -104,7 +107,7 @@
 			}
 			return best
 		},
-		couldRun(attempt) {
+		hasFittingTarget(attempt) {
 			for (const state of statesOf(attempt.pool)) if (isFitting(state, attempt)) return true
 			return false
 		},
--- a/packages/core/src/core/scheduler/target-state.ts
+++ b/packages/core/src/core/scheduler/target-state.ts
@@ -1,6 +1,5 @@
 /**
- * What this instance knows of a target that it places: how much of it is in use, and whether it may
- * take work now.
+ * The state of a target: its used capacity, and whether it may take work now.
  */
 import type {Resources, Target} from "../../types/types-external.js"
 import type {Health} from "../health.js"
@@ -11,9 +10,9 @@
 	target: Target
 	readonly used: {cpu: number; memoryMb: number; accelerators: number}
 	running: number
-	/** Nothing is sent before this time, after a target said that it is busy. */
+	/** Nothing is sent before this time, after a refusal as busy. */
 	blockedUntil: number
-	/** Until then the target's own word that it leaves holds, whatever the list says. */
+	/** Until this time the target counts as leaving, whatever the list says. */
 	leavingUntil: number
 }
 
@@ -22,19 +21,19 @@
 const PREFER_BONUS = 1
 const RACK_PENALTY = 0.25
 
-export function newTargetState(target: Target): TargetState {
+export function createTargetState(target: Target): TargetState {
 	const used = {cpu: 0, memoryMb: 0, accelerators: 0}
 	return {target, used, running: 0, blockedUntil: 0, leavingUntil: 0}
 }
 
-export function occupy(state: TargetState, need: Resources) {
+export function allocate(state: TargetState, need: Resources) {
 	state.running++
 	state.used.cpu += need.cpu
 	state.used.memoryMb += need.memoryMb
 	state.used.accelerators += need.accelerators
 }
 
-export function vacate(state: TargetState, need: Resources) {
+export function release(state: TargetState, need: Resources) {
 	state.running--
 	state.used.cpu -= need.cpu
 	state.used.memoryMb -= need.memoryMb
@@ -54,7 +53,7 @@
 	)
 }
 
-/** Says whether an idle target has what a task needs. */
+/** Returns whether an idle target has the resources that a task needs. */
 export function isLargeEnough({capacity}: Target, need: Resources): boolean {
 	return (
 		need.cpu <= capacity.cpu &&
@@ -63,13 +62,18 @@
 	)
 }
 
-/** Says whether a target could run an attempt when it is idle. */
+/** Returns whether a target could run an attempt when idle. */
 export function isFitting({target}: TargetState, {need, selector}: Attempt): boolean {
 	return isLargeEnough(target, need) && isMatch(selector, target.labels)
 }
 
-/** Says whether an attempt may be sent to a target now. */
-export function isOpen(state: TargetState, attempt: Attempt, health: Health, now: number): boolean {
+/** Returns whether an attempt may be sent to a target now. */
+export function canAccept(
+	state: TargetState,
+	attempt: Attempt,
+	health: Health,
+	now: number,
+): boolean {
 	const {target} = state
 	if (!hasRoom(state, attempt.need)) return false
 	if (isLeaving(state, now) || now < state.blockedUntil) return false
@@ -79,7 +83,10 @@
 	return health.isUsable(target.id)
 }
 
-/** Lower is better: load, then earlier tries, the preference, and the job's own spread. */
+/**
+ * Returns the cost of a placement, lower is better: the load, penalties for accelerators, earlier
+ * tries and shared racks, and a bonus for preferred targets.
+ */
 export function costOf(
 	{target, used}: TargetState,
 	attempt: Attempt,
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The public surface of the core: decisions and protocol state, without I/O.
+ * Public API of the core: decisions and protocol state, without I/O.
  */
 export * from "./types/types-external.js"
 export type * from "./types/store.js"
@@ -13,7 +13,7 @@
 export * from "./core/journal.js"
 export * from "./core/ownership.js"
 export * from "./core/assignment.js"
-export {createOwner, STALL_MS} from "./core/owner.js"
+export {createOwner, STORE_STALL_MS} from "./core/owner.js"
 export {isRetryableWithSameId, outcomeOf} from "./core/outcomes.js"
 export type {Owner, OwnerDeps} from "./core/owner.js"
 export * from "./core/scheduler/attempt.js"
--- a/packages/core/test/suspension.test.ts
+++ b/packages/core/test/suspension.test.ts
@@ -1,21 +1,21 @@
 /**
- * The time for which a machine was suspended counts on the process's clock; a jump of the time of day does not.
+ * The system clock includes suspensions of the machine, but not jumps of the wall clock.
  */
 import {createSystemClock} from "../src/utils/clock.js"
 import {createSuspensionCount} from "../src/utils/suspension-count.js"
 import {expect} from "chai"
 
 function createWorld() {
-	const clocks = {steady: 1_000, wall: 1_700_000_000_000, boot: 50_000}
-	const heard: number[] = []
+	const clocks = {monotonic: 1_000, wall: 1_700_000_000_000, boot: 50_000}
+	const suspensions: number[] = []
 	const count = createSuspensionCount({
-		steady: () => clocks.steady,
+		monotonic: () => clocks.monotonic,
 		wall: () => clocks.wall,
 		sinceBoot: () => clocks.boot,
-		onSuspension: ms => void heard.push(ms),
+		onSuspension: ms => void suspensions.push(ms),
 	})
-	function pass(ms: number) {
-		clocks.steady += ms
+	function advance(ms: number) {
+		clocks.monotonic += ms
 		clocks.wall += ms
 		clocks.boot += ms
 	}
@@ -23,34 +23,40 @@
 		clocks.wall += ms
 		clocks.boot += ms
 	}
-	return {clocks, heard, pass, suspend, suspendedMs: () => count.suspendedMs(clocks.steady)}
+	return {
+		clocks,
+		suspensions,
+		advance,
+		suspend,
+		suspendedMs: () => count.suspendedMs(clocks.monotonic),
+	}
 }
 
 describe("suspensions", () => {
 	it("count from the first reading after them", () => {
-		const {pass, suspend, suspendedMs, heard} = createWorld()
-		pass(10)
+		const {advance, suspend, suspendedMs, suspensions} = createWorld()
+		advance(10)
 		expect(suspendedMs()).to.equal(0)
 		suspend(3_000)
 		expect(suspendedMs()).to.equal(3_000)
-		pass(500)
+		advance(500)
 		suspend(700)
 		expect(suspendedMs()).to.equal(3_700)
-		expect(heard).to.eql([3_000, 700])
+		expect(suspensions).to.eql([3_000, 700])
 	})
 
-	it("are not seen in jumps of the time of day, ahead or back", () => {
-		const {clocks, pass, suspendedMs, heard} = createWorld()
+	it("are not seen in jumps of the wall clock, forward or back", () => {
+		const {clocks, advance, suspendedMs, suspensions} = createWorld()
 		for (const jump of [2_000, -2_000, 86_400_000, -3_000]) {
 			clocks.wall += jump
 			expect(suspendedMs()).to.equal(0)
-			pass(200)
+			advance(200)
 			expect(suspendedMs()).to.equal(0)
 		}
-		expect(heard).to.eql([])
+		expect(suspensions).to.eql([])
 	})
 
-	it("are found when the time of day jumped as well, at the latest with the next look", () => {
+	it("are found when the wall clock jumped as well, at the latest at the next check", () => {
 		const both = createWorld()
 		both.suspend(3_000)
 		both.clocks.wall += 2_000
@@ -58,14 +64,14 @@
 		const hidden = createWorld()
 		hidden.suspend(3_000)
 		hidden.clocks.wall -= 3_000
-		hidden.pass(51)
+		hidden.advance(51)
 		expect(hidden.suspendedMs()).to.equal(3_000)
 	})
 
-	it("are not made up from clocks that are corrected in small steps", () => {
-		const {clocks, pass, suspendedMs} = createWorld()
+	it("are not inferred from clocks that are corrected in small steps", () => {
+		const {clocks, advance, suspendedMs} = createWorld()
 		for (let at = 0; at < 1_000; at++) {
-			pass(40)
+			advance(40)
 			clocks.wall += 1
 			suspendedMs()
 		}
@@ -74,10 +80,7 @@
 })
 
 describe("timers that fell due during a suspension", () => {
-	/*
-	 * All that were due were fired from one list, so a timer that another one had just cancelled fired all the same, which the
-	 * runtime's own timers never do: an answer's time-out, say, after the answer.
-	 */
+	/* Guards against a timer that fires although another due timer has cancelled it. */
 	it("do not fire once another one has cancelled them", async () => {
 		const clock = createSystemClock()
 		let asleepMs = 0
