--- a/packages/jobs/src/decide/admission.ts
+++ b/packages/jobs/src/decide/admission.ts
@@ -11,20 +11,20 @@
 /** Estimates are too rough to refuse a job for a shorter wait. */
 export const SHORT_WAIT_MS = 30
 /** The longest backlog, as a share of the job's slack. */
-const BACKLOG_SLACKS = 0.5
+const MAX_BACKLOG_SLACK_RATIO = 0.5
 /** An excess of this much halves the queue's bound; a deficit of this much doubles it. */
-const LEAD_HALF = 0.02
-const LEAST_FACTOR = 0.1
-const MOST_FACTOR = 4
+const HALVING_EXCESS = 0.02
+const MIN_FACTOR = 0.1
+const MAX_FACTOR = 4
 /** Late jobs are admitted while requested work is below this share of the capacity. */
-const LATE_ROOM_SHARE = 0.5
+const MAX_RATIO_FOR_LATE = 0.5
 /** A smaller difference in excess does not justify an eviction. */
-const PUSH_LEAD = 0.02
+const MIN_EVICTION_EXCESS = 0.02
 
 /** Why a job was refused; a metric label, so the set is bounded. */
 export type RefusalReason = "no_executor" | "not_in_time" | "backlog" | "pushed_out" | "turned_bad"
 
-export type Verdict =
+export type AdmissionDecision =
 	| {readonly type: "admitted"}
 	/** Queued behind all jobs that can meet their objective. */
 	| {readonly type: "late"}
@@ -45,46 +45,46 @@
 	readonly lateBacklogMs: number
 }
 
-const ADMITTED: Verdict = Object.freeze({type: "admitted"})
-const LATE: Verdict = Object.freeze({type: "late"})
+const ADMITTED: AdmissionDecision = Object.freeze({type: "admitted"})
+const LATE: AdmissionDecision = Object.freeze({type: "late"})
 
 /** The longest backlog behind which a job is admitted, in milliseconds. */
-export function longestBacklogMs(slackMs: number, {excess: lead}: Share): number {
-	const factor = Math.min(MOST_FACTOR, Math.max(LEAST_FACTOR, 2 ** (-lead / LEAD_HALF)))
-	return Math.max(0, slackMs) * BACKLOG_SLACKS * factor
+export function maxBacklogMs(slackMs: number, {excess}: Share): number {
+	const factor = Math.min(MAX_FACTOR, Math.max(MIN_FACTOR, 2 ** (-excess / HALVING_EXCESS)))
+	return Math.max(0, slackMs) * MAX_BACKLOG_SLACK_RATIO * factor
 }
 
 export function isInTime({startInMs}: Forecast, slackMs: number): boolean {
 	return startInMs <= Math.max(slackMs, SHORT_WAIT_MS)
 }
 
-export function decideAdmission(asked: AdmissionInput): Verdict {
-	const {forecast, backlogMs, slackMs, share} = asked
-	const boundMs = longestBacklogMs(slackMs, share)
+export function decideAdmission(input: AdmissionInput): AdmissionDecision {
+	const {forecast, backlogMs, slackMs, share} = input
+	const boundMs = maxBacklogMs(slackMs, share)
 	const canBeInTime = isInTime(forecast, slackMs)
 	if (canBeInTime && backlogMs <= boundMs) return ADMITTED
-	if (!canBeInTime && mayBeLate(asked)) return LATE
+	if (!canBeInTime && mayAdmitLate(input)) return LATE
 	const roomInMs = Math.max(0, backlogMs - boundMs)
 	if (forecast.startInMs === Infinity) return {type: "refused", reason: "no_executor", roomInMs}
 	return {type: "refused", reason: canBeInTime ? "backlog" : "not_in_time", roomInMs}
 }
 
 /** Whether a job of which no task has started should stay queued. */
-export function shouldKeepWaiting(asked: AdmissionInput): boolean {
-	const {forecast, slackMs} = asked
-	return (slackMs > 0 && isInTime(forecast, slackMs)) || mayBeLate(asked)
+export function shouldKeepWaiting(input: AdmissionInput): boolean {
+	const {forecast, slackMs} = input
+	return (slackMs > 0 && isInTime(forecast, slackMs)) || mayAdmitLate(input)
 }
 
 /** A late answer is better than none, as long as it delays no job that can be in time. */
-function mayBeLate({
+function mayAdmitLate({
 	forecast,
 	usefulMs,
-	requestedRatio: askedOfRoom,
+	requestedRatio,
 	lateBacklogMs,
 	backlogMs,
 }: AdmissionInput): boolean {
-	if (askedOfRoom >= LATE_ROOM_SHARE) return false
-	const spare = 1 - askedOfRoom
+	if (requestedRatio >= MAX_RATIO_FOR_LATE) return false
+	const spare = 1 - requestedRatio
 	// Jobs in time go first, so late jobs get only the spare capacity.
 	const startInMs = Math.max(forecast.startInMs, (backlogMs + lateBacklogMs) / spare)
 	return startInMs <= usefulMs
@@ -105,7 +105,7 @@
 	let best: T | undefined
 	for (const waiting of lastWaiting) {
 		if (waiting.slackMs <= newcomer.slackMs || waiting.work < newcomer.work) continue
-		if (waiting.share.excess - newcomer.share.excess <= PUSH_LEAD) continue
+		if (waiting.share.excess - newcomer.share.excess <= MIN_EVICTION_EXCESS) continue
 		if (!best || waiting.share.excess > best.share.excess) best = waiting
 	}
 	return best
@@ -113,17 +113,17 @@
 
 /** Spreads the retries of jobs that were refused together. */
 const RETRY_SPREAD_MS = 2_000
-const LONGEST_RETRY_MS = 10_000
+const MAX_RETRY_MS = 10_000
 
 /** When the caller should retry, in milliseconds: once capacity is forecast, spread by the job's id. */
 export function retryAfterMsOf(id: string, roomInMs: number): number {
 	const waitMs = Number.isFinite(roomInMs) ? Math.max(0, Math.round(roomInMs)) : 0
-	return Math.min(waitMs, LONGEST_RETRY_MS) + 1 + (hashOf(id) % RETRY_SPREAD_MS)
+	return Math.min(waitMs, MAX_RETRY_MS) + 1 + (hashOf(id) % RETRY_SPREAD_MS)
 }
 
 /** Whether a value received from another instance is a valid retry time. */
 export function isRetryAfter(ms: unknown): ms is number {
-	return typeof ms === "number" && ms > 0 && ms <= LONGEST_RETRY_MS + RETRY_SPREAD_MS
+	return typeof ms === "number" && ms > 0 && ms <= MAX_RETRY_MS + RETRY_SPREAD_MS
 }
 
 const HASH_FACTOR = 31
--- a/packages/jobs/src/decide/crashes.ts
+++ b/packages/jobs/src/decide/crashes.ts
@@ -26,11 +26,11 @@
 }
 
 /** Possible crashes that make a task a suspect. */
-const SILENCES_TO_SUSPECT = 2
+const SUSPECT_POSSIBLE_CRASHES = 2
 /** Known crashes, the last one alone, that fail a task. */
-const CRASHES_TO_FAIL = 2
+const FAILING_CRASHES = 2
 /** Crashes, possible ones included, after which a task is not started again. */
-const MOST_CRASHES = 5
+const MAX_CRASHES = 5
 
 export const NO_CRASHES: CrashCount = Object.freeze({known: 0, possible: 0})
 
@@ -40,12 +40,12 @@
 
 /** Whether the crashes, the latest one included, prove that the task caused them. */
 export function isPoisonTask({known}: CrashCount, last: Crash): boolean {
-	return last === "alone" && known >= CRASHES_TO_FAIL
+	return last === "alone" && known >= FAILING_CRASHES
 }
 
 /** Whether the task is given up without proof. */
 export function hasTooManyCrashes({known, possible}: CrashCount): boolean {
-	return known + possible >= MOST_CRASHES
+	return known + possible >= MAX_CRASHES
 }
 
 /** Counts and logs a crash. */
@@ -58,6 +58,6 @@
 }
 
 export function isolationOf({known, possible}: CrashCount): Isolation | undefined {
-	if (known >= CRASHES_TO_FAIL) return "required"
-	return known > 0 || possible >= SILENCES_TO_SUSPECT ? "preferred" : undefined
+	if (known >= FAILING_CRASHES) return "required"
+	return known > 0 || possible >= SUSPECT_POSSIBLE_CRASHES ? "preferred" : undefined
 }
--- a/packages/jobs/src/decide/domain-choice.ts
+++ b/packages/jobs/src/decide/domain-choice.ts
@@ -10,17 +10,17 @@
 /** How often a whole job may change its failure domain; it never goes back. */
 export const MAX_MOVES = 2
 /** The oldest usable report: two heartbeats. */
-const NEWS_AGE_MS = 500
+const MAX_REPORT_AGE_MS = 500
 /** Three heartbeats without a message. */
-const SILENT_MS = 650
+const MAX_SILENCE_MS = 650
 /** For a connection with open calls, which carries a message every 100 ms. */
-const QUIET_MS = 300
+const MAX_QUIET_MS = 300
 /** After a new placer's claim, its executors have answered by then. */
-const BEGINNING_MS = 400
+const STARTUP_MS = 400
 /** The additional round trip to another failure domain. */
-const WAY_MS = 3
+const ROUND_TRIP_MS = 3
 /** The share of an executor that whole tasks fill, for executors of two or three times the tasks' size. */
-const PACKED_SHARE = 0.8
+const PACKING_RATIO = 0.8
 const MILLICORES = 1_000
 
 /** Another domain's reported capacity, and the state of its placer. */
@@ -109,8 +109,8 @@
 }
 
 /** How long a domain's executors take for the work, in milliseconds. */
-const paceMs = (work: number, totalCpu: number) =>
-	totalCpu > 0 ? work / ((totalCpu / MILLICORES) * PACKED_SHARE) : Infinity
+const durationMs = (work: number, totalCpu: number) =>
+	totalCpu > 0 ? work / ((totalCpu / MILLICORES) * PACKING_RATIO) : Infinity
 
 /** The wait in the job's own domain, in milliseconds; at least as long as it has waited already. */
 export function forecastLocalStartMs(
@@ -118,23 +118,27 @@
 	{work}: JobNeed,
 ) {
 	const ahead = waitedMs > 0 ? Math.max(waitingWork, work) : waitingWork + work
-	return Math.max(waitedMs, paceMs(ahead, totalCpu))
+	return Math.max(waitedMs, durationMs(ahead, totalCpu))
 }
 
 /** Whether a domain can take jobs from others: its placer is alive, its report is recent, and it is not evacuated. */
-export function isOpen(news: DomainReport): boolean {
-	if (news.isEvacuated || news.isLeaving || news.isUnreachable || news.isStrained) return false
-	if (news.silentMs >= SILENT_MS || news.quietMs >= QUIET_MS) return false
-	return news.claimAgeMs >= BEGINNING_MS && news.ageMs <= NEWS_AGE_MS
+export function acceptsJobs(report: DomainReport): boolean {
+	if (report.isEvacuated || report.isLeaving || report.isUnreachable || report.isStrained)
+		return false
+	if (report.silentMs >= MAX_SILENCE_MS || report.quietMs >= MAX_QUIET_MS) return false
+	return report.claimAgeMs >= STARTUP_MS && report.ageMs <= MAX_REPORT_AGE_MS
 }
 
 /** The domains that may send work to this one, own included: those without room, and those without a recent report. */
-export function countRivals(all: readonly DomainReport[], {failureDomain}: DomainReport): number {
-	const others = all.filter(news => news.failureDomain !== failureDomain)
-	const hungry = others.filter(
-		({reportedCpu: toldCpu, ageMs}) => toldCpu.length === 0 || ageMs > NEWS_AGE_MS,
+export function countCompetitors(
+	all: readonly DomainReport[],
+	{failureDomain}: DomainReport,
+): number {
+	const others = all.filter(report => report.failureDomain !== failureDomain)
+	const competitors = others.filter(
+		({reportedCpu, ageMs}) => reportedCpu.length === 0 || ageMs > MAX_REPORT_AGE_MS,
 	)
-	return 1 + hungry.length
+	return 1 + competitors.length
 }
 
 const sum = (figures: readonly number[]) => figures.reduce((total, figure) => total + figure, 0)
@@ -144,21 +148,29 @@
 	sum(freeCpu.map(free => Math.floor(Math.max(0, free) / cpu)))
 
 /** Whether the whole job fits into the own share of the room that the domain reported. */
-export function fitsThere(news: DomainReport, {tasks, cpu}: JobNeed, rivals: number): boolean {
-	const share = Math.floor(countFitting(news.reportedCpu, cpu) / rivals)
-	if (tasks > share - Math.ceil(news.sentCpu / cpu)) return false
-	return countFitting(news.freeCpu, cpu) >= tasks
+export function fitsThere(
+	report: DomainReport,
+	{tasks, cpu}: JobNeed,
+	competitors: number,
+): boolean {
+	const share = Math.floor(countFitting(report.reportedCpu, cpu) / competitors)
+	if (tasks > share - Math.ceil(report.sentCpu / cpu)) return false
+	return countFitting(report.freeCpu, cpu) >= tasks
 }
 
 /** The wait in another domain, in milliseconds; the queue may have grown for as long as the report is old. */
-export function forecastThereMs(news: DomainReport, need: JobNeed, rivals: number): number {
-	if (fitsThere(news, need, rivals)) return WAY_MS
-	const ahead = news.waitingWork + news.sentWork * rivals + need.work
-	return WAY_MS + paceMs(ahead, news.totalCpu) + news.ageMs
+export function forecastRemoteStartMs(
+	report: DomainReport,
+	need: JobNeed,
+	competitors: number,
+): number {
+	if (fitsThere(report, need, competitors)) return ROUND_TRIP_MS
+	const ahead = report.waitingWork + report.sentWork * competitors + need.work
+	return ROUND_TRIP_MS + durationMs(ahead, report.totalCpu) + report.ageMs
 }
 
 /** The wait after which a job may move, in milliseconds. */
-export const moveAfterMs = (crossDomainMs: number) => crossDomainMs + WAY_MS
+export const moveAfterMs = (crossDomainMs: number) => crossDomainMs + ROUND_TRIP_MS
 
 /** Whether a move can pay off at all; a cheap check before the choice. */
 export const mayMove = (hereMs: number, crossDomainMs: number) =>
@@ -173,28 +185,28 @@
 ): DomainChoice | undefined {
 	const hereMs = forecastLocalStartMs(own, need)
 	if (!mayMove(hereMs, crossDomainMs)) return undefined
-	let best: {readonly news: DomainReport; readonly thereMs: number} | undefined
-	for (const news of all) {
-		if (need.been.includes(news.failureDomain) || !isOpen(news)) continue
-		if (need.labels.some(label => !news.labels.includes(label))) continue
-		const rivals = countRivals(all, news)
-		if (!own.wouldRefuse && !fitsThere(news, need, rivals)) continue
-		const thereMs = forecastThereMs(news, need, rivals)
+	let best: {readonly report: DomainReport; readonly thereMs: number} | undefined
+	for (const report of all) {
+		if (need.been.includes(report.failureDomain) || !acceptsJobs(report)) continue
+		if (need.labels.some(label => !report.labels.includes(label))) continue
+		const competitors = countCompetitors(all, report)
+		if (!own.wouldRefuse && !fitsThere(report, need, competitors)) continue
+		const thereMs = forecastRemoteStartMs(report, need, competitors)
 		if (thereMs > need.startInMs || !(hereMs - thereMs >= crossDomainMs)) continue
-		if (!best || isBetter({news, thereMs}, best)) best = {news, thereMs}
+		if (!best || isBetterCandidate({report, thereMs}, best)) best = {report, thereMs}
 	}
 	if (!best) return undefined
-	const {failureDomain, ageMs} = best.news
+	const {failureDomain, ageMs} = best.report
 	return {failureDomain, hereMs, thereMs: best.thereMs, newsAgeMs: ageMs}
 }
 
-interface Offer {
-	readonly news: DomainReport
+interface Candidate {
+	readonly report: DomainReport
 	readonly thereMs: number
 }
 
 /** Prefers the sooner start, then the domain with more free capacity. */
-function isBetter(a: Offer, b: Offer): boolean {
+function isBetterCandidate(a: Candidate, b: Candidate): boolean {
 	if (a.thereMs !== b.thereMs) return a.thereMs < b.thereMs
-	return sum(a.news.freeCpu) > sum(b.news.freeCpu)
+	return sum(a.report.freeCpu) > sum(b.report.freeCpu)
 }
--- a/packages/jobs/src/decide/forecast.ts
+++ b/packages/jobs/src/decide/forecast.ts
@@ -7,13 +7,13 @@
 import type {PlacerLoad} from "./load.js"
 
 /** The share of an executor that whole tasks fill, for executors of two or three times the tasks' size. */
-const PACKED_SHARE = 0.8
+const PACKING_RATIO = 0.8
 /** How far one wait moves the correction. */
 const CORRECTION_STEP = 0.03
-const LEAST_CORRECTION = 0.5
-const MOST_CORRECTION = 4
+const MIN_CORRECTION = 0.5
+const MAX_CORRECTION = 4
 /** Added to both waits, so that waits of a round trip hardly affect the correction. */
-const NO_WAIT_MS = 10
+const NEGLIGIBLE_WAIT_MS = 10
 
 export interface Demand {
 	/** Cores required by the tasks of the first steps. */
@@ -22,7 +22,7 @@
 	readonly chainMs: number
 }
 
-export interface Standing {
+export interface ForecastState {
 	readonly load: PlacerLoad
 	/** Core-milliseconds queued ahead of the job. */
 	readonly workBefore: number
@@ -38,17 +38,17 @@
 }
 
 /** How long the healthy executors take for the work, in milliseconds; Infinity without any. */
-export function drainMs(work: number, {healthyCores: soundCores}: PlacerLoad): number {
-	return soundCores === 0 ? Infinity : work / (soundCores * PACKED_SHARE)
+export function drainMs(work: number, {healthyCores}: PlacerLoad): number {
+	return healthyCores === 0 ? Infinity : work / (healthyCores * PACKING_RATIO)
 }
 
 /** Core-milliseconds that the healthy executors can do in the time. */
-export const capacityOver = (ms: number, {healthyCores: soundCores}: PlacerLoad) =>
-	ms * soundCores * PACKED_SHARE
+export const capacityOver = (ms: number, {healthyCores}: PlacerLoad) =>
+	ms * healthyCores * PACKING_RATIO
 
-export function forecastOf({cores, chainMs}: Demand, standing: Standing): Forecast {
-	const {load, workBefore, borrowableCores: lentCores, correction} = standing
-	const startInMs = correction * uncorrectedStartInMs(cores, load, workBefore, lentCores)
+export function forecastOf({cores, chainMs}: Demand, state: ForecastState): Forecast {
+	const {load, workBefore, borrowableCores, correction} = state
+	const startInMs = correction * uncorrectedStartInMs(cores, load, workBefore, borrowableCores)
 	return {startInMs, endInMs: startInMs + chainMs}
 }
 
@@ -56,25 +56,25 @@
 	cores: number,
 	load: PlacerLoad,
 	workBefore: number,
-	lentCores: number,
+	borrowableCores: number,
 ): number {
-	if (load.healthyCores === 0) return lentCores >= cores ? 0 : Infinity
-	const missingCores = cores - load.freeCores - lentCores
-	const roomInMs = missingCores <= 0 ? 0 : missingCores / freedPerMs(load)
+	if (load.healthyCores === 0) return borrowableCores >= cores ? 0 : Infinity
+	const missingCores = cores - load.freeCores - borrowableCores
+	const roomInMs = missingCores <= 0 ? 0 : missingCores / freedCoresRate(load)
 	return drainMs(workBefore, load) + roomInMs
 }
 
 /** Tasks without an estimate free nothing, so the rate is at least that of all cores in a second. */
-function freedPerMs({freedCoresPerMs, healthyCores: soundCores}: PlacerLoad): number {
-	return Math.max(freedCoresPerMs, soundCores / 1_000)
+function freedCoresRate({freedCoresPerMs, healthyCores}: PlacerLoad): number {
+	return Math.max(freedCoresPerMs, healthyCores / 1_000)
 }
 
 /** The new correction, from a job's forecast and actual wait. */
 export function updateCorrection(before: number, forecastMs: number, waitedMs: number): number {
 	if (!Number.isFinite(forecastMs) || !Number.isFinite(waitedMs)) return before
 	const uncorrectedMs = forecastMs / before
-	const ratio = (Math.max(0, waitedMs) + NO_WAIT_MS) / (uncorrectedMs + NO_WAIT_MS)
-	const bounded = Math.min(MOST_CORRECTION, Math.max(LEAST_CORRECTION, ratio))
+	const ratio = (Math.max(0, waitedMs) + NEGLIGIBLE_WAIT_MS) / (uncorrectedMs + NEGLIGIBLE_WAIT_MS)
+	const bounded = Math.min(MAX_CORRECTION, Math.max(MIN_CORRECTION, ratio))
 	const next = before + CORRECTION_STEP * (bounded - before)
-	return Math.min(MOST_CORRECTION, Math.max(LEAST_CORRECTION, next))
+	return Math.min(MAX_CORRECTION, Math.max(MIN_CORRECTION, next))
 }
--- a/packages/jobs/src/decide/lease-rule.ts
+++ b/packages/jobs/src/decide/lease-rule.ts
@@ -10,19 +10,19 @@
 /** The slowest rate of an executor's clock, by the platform's contract (2%). */
 export const SLOWEST_RATE = 0.98
 /** How late an executor's lease timer may fire. */
-const TIMER_MS = 10
+const TIMER_MARGIN_MS = 10
 /** Reserved for the network delay of callers that retry. */
-const CALLER_WAY_MS = 50
+const CALLER_DELAY_MS = 50
 /**
  * The age of a confirmation that still allows a start: two clock readings of the placer and two connection checks of the
  * caller's instance. Leases are shorter by it.
  */
-const USUAL_AGE_MS = 220
+const TYPICAL_CONFIRMATION_AGE_MS = 220
 /** The shortest lease for a start: two unanswered holds would end a shorter one. */
-const LEAST_START_LEASE_MS = 400
+const MIN_START_LEASE_MS = 400
 
 /** A run with an older confirmation is stopped, since it halves its neighbours' leases. Broken connections are detected earlier. */
-const UNHEARD_MS = 700
+const MAX_CONFIRMATION_AGE_MS = 700
 
 export interface LeaseRule {
 	/** How long after its caller's last confirmation a run has certainly ended, in milliseconds. */
@@ -53,10 +53,10 @@
  * caller still get the shortest lease.
  */
 export function leaseRuleFor({resubmitMs, maxLeaseMs, stopGraceMs}: LeaseBounds): LeaseRule {
-	const endsWithinMs = resubmitMs - CALLER_WAY_MS
-	const endMarginMs = stopGraceMs + TIMER_MS
-	const usualMs = leaseWithinMs(endsWithinMs - USUAL_AGE_MS, endMarginMs)
-	const longestLeaseMs = Math.min(maxLeaseMs, Math.max(LEAST_START_LEASE_MS, Math.floor(usualMs)))
+	const endsWithinMs = resubmitMs - CALLER_DELAY_MS
+	const endMarginMs = stopGraceMs + TIMER_MARGIN_MS
+	const typicalMs = leaseWithinMs(endsWithinMs - TYPICAL_CONFIRMATION_AGE_MS, endMarginMs)
+	const longestLeaseMs = Math.min(maxLeaseMs, Math.max(MIN_START_LEASE_MS, Math.floor(typicalMs)))
 	const longestEndMs = longestLeaseMs / SLOWEST_RATE + endMarginMs
 	return Object.freeze({endsWithinMs, longestLeaseMs, longestEndMs, endMarginMs})
 }
@@ -73,7 +73,7 @@
 
 /** Whether the last confirmation of a run is too old. */
 export function isUnheard(confirmedAt: number, now: number): boolean {
-	return now - confirmedAt > UNHEARD_MS
+	return now - confirmedAt > MAX_CONFIRMATION_AGE_MS
 }
 
 /**
@@ -100,10 +100,10 @@
  */
 export function mayStart(
 	rule: LeaseRule,
-	{confirmedAt, neighboursConfirmedAt: besideAt, leasesEndAt}: RunStart,
+	{confirmedAt, neighboursConfirmedAt, leasesEndAt}: RunStart,
 	now: number,
 ): boolean {
 	if (leasesEndAt > certainEndAt(rule, confirmedAt)) return false
-	const leaseMs = leaseMsFor(rule, Math.min(confirmedAt, besideAt), now)
-	return leaseMs >= Math.min(LEAST_START_LEASE_MS, rule.longestLeaseMs)
+	const leaseMs = leaseMsFor(rule, Math.min(confirmedAt, neighboursConfirmedAt), now)
+	return leaseMs >= Math.min(MIN_START_LEASE_MS, rule.longestLeaseMs)
 }
--- a/packages/jobs/src/decide/load.ts
+++ b/packages/jobs/src/decide/load.ts
@@ -19,23 +19,24 @@
 	running: Iterable<Run>,
 	{health, speeds}: Judgement,
 ): PlacerLoad {
-	let sound = 0
-	let pace = 0
-	let free = 0
+	let healthyCpu = 0
+	let scaledCpu = 0
+	let freeCpu = 0
 	for (const link of links.values()) {
 		const {id, capacity} = link.record
 		if (!link.isUsableSoon() || !health.isUsable(id)) continue
-		sound += capacity.cpu
-		pace += capacity.cpu / speeds.expectedSlowness(id)
-		if (link.isUsable()) free += Math.max(0, link.freeCpu())
+		healthyCpu += capacity.cpu
+		scaledCpu += capacity.cpu / speeds.expectedSlowness(id)
+		if (link.isUsable()) freeCpu += Math.max(0, link.freeCpu())
 	}
-	let freedPerMs = 0
+	let freedCpuPerMs = 0
 	for (const {req} of running)
-		if (!req.isFilling && !req.isLasting) freedPerMs += req.need.cpu / Math.max(1, req.estimateMs)
-	const usualPace = sound > 0 ? pace / sound : 1
+		if (!req.isFilling && !req.isLasting)
+			freedCpuPerMs += req.need.cpu / Math.max(1, req.estimateMs)
+	const meanSpeed = healthyCpu > 0 ? scaledCpu / healthyCpu : 1
 	return {
-		healthyCores: pace / MILLICORES,
-		freeCores: free / MILLICORES,
-		freedCoresPerMs: (freedPerMs * usualPace) / MILLICORES,
+		healthyCores: scaledCpu / MILLICORES,
+		freeCores: freeCpu / MILLICORES,
+		freedCoresPerMs: (freedCpuPerMs * meanSpeed) / MILLICORES,
 	}
 }
--- a/packages/jobs/src/decide/room.ts
+++ b/packages/jobs/src/decide/room.ts
@@ -7,9 +7,9 @@
 import type {TaskQueue} from "../place/task-queue.js"
 
 /** The share of an executor that whole tasks fill, for executors of two or three times the tasks' size. */
-const PACKED_SHARE = 0.8
+const PACKING_RATIO = 0.8
 /** How many of the freest executors are reported to other placers. */
-const ROOM_ENTRIES = 6
+const REPORTED_EXECUTORS = 6
 const MILLICORES = 1_000
 
 type Links = ReadonlyMap<string, ExecutorLink>
@@ -18,7 +18,7 @@
 	[...links.values()].filter(link => link.isUsable())
 
 /** Executors that are usable, or will be soon. */
-export const promisingLinks = (links: Links): readonly ExecutorLink[] =>
+export const soonUsableLinks = (links: Links): readonly ExecutorLink[] =>
 	[...links.values()].filter(link => link.isUsableSoon())
 
 /** How many tasks of a step the executors have room for now. */
@@ -30,7 +30,7 @@
 }
 
 /** Millicores scaled by speed: an executor that takes twice as long counts half. */
-function paceOf(links: readonly ExecutorLink[], speeds: Speeds): number {
+function scaledCpuOf(links: readonly ExecutorLink[], speeds: Speeds): number {
 	return links.reduce(
 		(sum, {record}) => sum + record.capacity.cpu / speeds.expectedSlowness(record.id),
 		0,
@@ -38,33 +38,33 @@
 }
 
 /** The room reported to other placers, without the executors that a task waiting here could use. */
-export function roomFor(links: Links, queue: TaskQueue, {health, speeds}: Judgement): Room {
+export function reportedRoom(links: Links, queue: TaskQueue, {health, speeds}: Judgement): Room {
 	const leastCpu = queue.leastCpu()
 	const freeCpu: number[] = []
 	const labels = new Set<string>()
-	let pace = 0
+	let scaledCpu = 0
 	for (const link of links.values()) {
 		const {id, capacity} = link.record
 		if (!link.isUsable() || !health.isUsable(id)) continue
-		pace += capacity.cpu / speeds.expectedSlowness(id)
+		scaledCpu += capacity.cpu / speeds.expectedSlowness(id)
 		for (const label of link.record.labels) labels.add(label)
 		const free = link.freeCpu()
-		if (free >= 0 && free < leastCpu) keepLargest(freeCpu, free)
+		if (free >= 0 && free < leastCpu) insertIfLargest(freeCpu, free)
 	}
 	const waitingWork = Math.round(queue.work())
-	return {freeCpu, totalCpu: Math.round(pace), waitingWork, labels: [...labels]}
+	return {freeCpu, totalCpu: Math.round(scaledCpu), waitingWork, labels: [...labels]}
 }
 
 /** Inserts a value into the descending list of the largest ones, if it is one of them. */
-function keepLargest(largest: number[], value: number) {
-	if (largest.length === ROOM_ENTRIES && value <= (largest.at(-1) ?? 0)) return
+function insertIfLargest(largest: number[], value: number) {
+	if (largest.length === REPORTED_EXECUTORS && value <= (largest.at(-1) ?? 0)) return
 	const at = largest.findIndex(entry => entry < value)
 	largest.splice(at < 0 ? largest.length : at, 0, value)
-	if (largest.length > ROOM_ENTRIES) largest.pop()
+	if (largest.length > REPORTED_EXECUTORS) largest.pop()
 }
 
 /** Whether any executor is usable, or will be soon. */
-export function hasPromising(links: Links): boolean {
+export function hasSoonUsable(links: Links): boolean {
 	for (const link of links.values()) if (link.isUsableSoon()) return true
 	return false
 }
@@ -77,7 +77,7 @@
 	startBy: number,
 	now: number,
 ): number {
-	const cpu = paceOf(promisingLinks(links), speeds)
+	const cpu = scaledCpuOf(soonUsableLinks(links), speeds)
 	if (cpu === 0) return Infinity
-	return queue.workBefore(startBy, now) / ((cpu / MILLICORES) * PACKED_SHARE)
+	return queue.workBefore(startBy, now) / ((cpu / MILLICORES) * PACKING_RATIO)
 }
--- a/packages/jobs/src/decide/selection.ts
+++ b/packages/jobs/src/decide/selection.ts
@@ -12,11 +12,11 @@
 const SHARED_PENALTY = 5
 
 /** The cost of running a task on an executor; incomplete once it reaches `most`, since the rest only adds to it. */
-function costOf(link: ExecutorLink, req: TaskRequest, speeds: Speeds, most: number): number {
+function costOf(link: ExecutorLink, req: TaskRequest, speeds: Speeds, limit: number): number {
 	const {id, capacity, labels} = link.record
-	const left = (link.freeCpu() - req.need.cpu) / capacity.cpu
-	let cost = speeds.costOf(id, req) + LEFTOVER_WEIGHT * left
-	if (cost >= most) return cost
+	const leftover = (link.freeCpu() - req.need.cpu) / capacity.cpu
+	let cost = speeds.costOf(id, req) + LEFTOVER_WEIGHT * leftover
+	if (cost >= limit) return cost
 	if (req.rack !== undefined && !labels.includes(req.rack)) cost += OFF_RACK_PENALTY
 	if (link.isShared(req)) cost += SHARED_PENALTY
 	return cost
@@ -30,22 +30,22 @@
 }
 
 /** Whether a suitable executor may take the task now; costs more, so it is checked last. */
-function isOpen(link: ExecutorLink, req: TaskRequest, health: Health): boolean {
+function isAvailable(link: ExecutorLink, req: TaskRequest, health: Health): boolean {
 	if (!link.isUsable() || !link.isCompatible(req)) return false
 	if (req.maxPerExecutor && link.countOf(stepNameOf(req.task)) >= req.maxPerExecutor) return false
 	return health.isUsable(link.record.id) && link.isConfirmed(req)
 }
 
 /** Whether the service has a usable executor that the task does not avoid, with room now or later. */
-function hasOther(
+function hasAlternative(
 	links: ReadonlyMap<string, ExecutorLink>,
 	req: TaskRequest,
 	health: Health,
 ): boolean {
 	for (const link of links.values()) {
 		const {id, service} = link.record
-		const isOther = service === req.service && !req.avoid.includes(id)
-		if (isOther && link.isUsable() && health.isUsable(id)) return true
+		const isAlternative = service === req.service && !req.avoid.includes(id)
+		if (isAlternative && link.isUsable() && health.isUsable(id)) return true
 	}
 	return false
 }
@@ -59,12 +59,12 @@
 ): ExecutorLink | undefined {
 	let best: ExecutorLink | undefined
 	let bestCost = Infinity
-	const mayGoBack = req.avoid.length > 0 && !hasOther(links, req, health)
+	const mayReturn = req.avoid.length > 0 && !hasAlternative(links, req, health)
 	for (const link of links.values()) {
 		if (!isSuitable(link, req)) continue
-		if (!mayGoBack && req.avoid.includes(link.record.id)) continue
+		if (!mayReturn && req.avoid.includes(link.record.id)) continue
 		const cost = costOf(link, req, speeds, bestCost)
-		if (cost >= bestCost || !isOpen(link, req, health)) continue
+		if (cost >= bestCost || !isAvailable(link, req, health)) continue
 		best = link
 		bestCost = cost
 	}
--- a/packages/jobs/src/decide/shares.ts
+++ b/packages/jobs/src/decide/shares.ts
@@ -46,9 +46,14 @@
 }
 
 /** A negative `served` takes back work that was counted as served and refused later. */
-export function addWork(before: QueueWork, now: number, asked: number, served: number): QueueWork {
+export function addWork(
+	before: QueueWork,
+	now: number,
+	requested: number,
+	served: number,
+): QueueWork {
 	const work = decayed(before, now)
-	return {requested: work.requested + asked, served: Math.max(0, work.served + served), at: now}
+	return {requested: work.requested + requested, served: Math.max(0, work.served + served), at: now}
 }
 
 const isWeighted = (rules: readonly ShareRule[]) =>
@@ -57,37 +62,38 @@
 /** Each queue's fair share of the served work, in core-milliseconds. */
 export function duesOf(
 	rules: readonly ShareRule[],
-	askedOf: (queue: string) => number,
-	room: number,
+	requestedOf: (queue: string) => number,
+	capacity: number,
 ): ReadonlyMap<string, number> {
-	const asked = rules.reduce((sum, {name}) => sum + askedOf(name), 0)
+	const requested = rules.reduce((sum, {name}) => sum + requestedOf(name), 0)
 	if (!isWeighted(rules)) {
-		const ratio = asked === 0 ? 1 : Math.min(1, room / asked)
-		return new Map(rules.map(({name}) => [name, ratio * askedOf(name)]))
+		const ratio = requested === 0 ? 1 : Math.min(1, capacity / requested)
+		return new Map(rules.map(({name}) => [name, ratio * requestedOf(name)]))
 	}
 	const dues = new Map<string, number>()
-	for (const {name, floor = 0} of rules) dues.set(name, Math.min(askedOf(name), floor * room))
-	divideRest(rules, askedOf, room, dues)
+	for (const {name, floor = 0} of rules)
+		dues.set(name, Math.min(requestedOf(name), floor * capacity))
+	divideByWeight(rules, requestedOf, capacity, dues)
 	return dues
 }
 
 /** Divides the capacity above the floors by weight; the unused share of a queue goes to the others. */
-function divideRest(
+function divideByWeight(
 	rules: readonly ShareRule[],
-	askedOf: (queue: string) => number,
-	room: number,
+	requestedOf: (queue: string) => number,
+	capacity: number,
 	dues: Map<string, number>,
 ) {
 	const dueOf = (name: string) => dues.get(name) ?? 0
 	for (let round = 0; round < MAX_ROUNDS; round++) {
-		const hungry = rules.filter(
-			({name, weight = DEFAULT_WEIGHT}) => weight > 0 && dueOf(name) < askedOf(name),
+		const unsatisfied = rules.filter(
+			({name, weight = DEFAULT_WEIGHT}) => weight > 0 && dueOf(name) < requestedOf(name),
 		)
-		const weights = hungry.reduce((sum, {weight = DEFAULT_WEIGHT}) => sum + weight, 0)
-		const left = room - [...dues.values()].reduce((sum, due) => sum + due, 0)
+		const weights = unsatisfied.reduce((sum, {weight = DEFAULT_WEIGHT}) => sum + weight, 0)
+		const left = capacity - [...dues.values()].reduce((sum, due) => sum + due, 0)
 		if (weights === 0 || left <= 0) return
-		for (const {name, weight = DEFAULT_WEIGHT} of hungry)
-			dues.set(name, Math.min(askedOf(name), dueOf(name) + (left * weight) / weights))
+		for (const {name, weight = DEFAULT_WEIGHT} of unsatisfied)
+			dues.set(name, Math.min(requestedOf(name), dueOf(name) + (left * weight) / weights))
 	}
 }
 
@@ -98,9 +104,9 @@
 	now: number,
 ): ReadonlyMap<string, Share> {
 	const recent = new Map(rules.map(({name}) => [name, decayed(work.get(name) ?? NO_WORK, now)]))
-	const askedOf = (name: string) => recent.get(name)?.requested ?? 0
-	const room = [...recent.values()].reduce((sum, {served}) => sum + served, 0)
-	const dues = duesOf(rules, askedOf, room)
+	const requestedOf = (name: string) => recent.get(name)?.requested ?? 0
+	const capacity = [...recent.values()].reduce((sum, {served}) => sum + served, 0)
+	const dues = duesOf(rules, requestedOf, capacity)
 	return new Map(rules.map(({name}) => [name, shareOf(recent.get(name), dues.get(name) ?? 0)]))
 }
 
--- a/packages/jobs/src/decide/slices.ts
+++ b/packages/jobs/src/decide/slices.ts
@@ -11,21 +11,21 @@
 import type {ExecutorRecord} from "../types/executor.js"
 import type {Claim, Member} from "../types/fleet.js"
 
-const SLICE_MARK = "/slice-"
+const SLICE_INFIX = "/slice-"
 const SLICE_NAME = /^(.+)\/slice-([1-9]\d{0,3})$/
 /** Exceeds the placer changes of a slice in a fleet's lifetime. */
 const FENCES_PER_SLICE = 1_000_000
 /** The smallest instance that can place a slice, relative to the domain's largest instance. */
-const SMALLEST_SHARE = 2 / 3
+const MIN_SIZE_RATIO = 2 / 3
 
 interface Slice {
 	readonly failureDomain: string
 	readonly index: number
 }
 
-function sliceOfName(name: string): Slice {
-	if (!name.includes(SLICE_MARK)) return {failureDomain: name, index: 0}
-	if (!name.includes(SLICE_MARK)) return {failureDomain: name, index: 0}
+function parseSliceName(name: string): Slice {
+	if (!name.includes(SLICE_INFIX)) return {failureDomain: name, index: 0}
+	if (!name.includes(SLICE_INFIX)) return {failureDomain: name, index: 0}
 	const [, failureDomain, index] = SLICE_NAME.exec(name) ?? []
 	if (failureDomain === undefined) return {failureDomain: name, index: 0}
 	return {failureDomain, index: Number(index)}
@@ -33,14 +33,14 @@
 
 /** The first slice has the name of its domain, so that an undivided domain needs no special case. */
 export function sliceName(failureDomain: string, index: number): string {
-	return index === 0 ? failureDomain : `${failureDomain}${SLICE_MARK}${index}`
+	return index === 0 ? failureDomain : `${failureDomain}${SLICE_INFIX}${index}`
 }
 
-export const sliceIndexOf = (name: string) => sliceOfName(name).index
+export const sliceIndexOf = (name: string) => parseSliceName(name).index
 
 /** The failure domain of a slice. */
 export const failureDomainOf = (name: string) =>
-	name.includes(SLICE_MARK) ? sliceOfName(name).failureDomain : name
+	name.includes(SLICE_INFIX) ? parseSliceName(name).failureDomain : name
 
 /** The names of a domain's slices. */
 export function sliceNames(failureDomain: string, count: number): readonly string[] {
@@ -88,7 +88,7 @@
 	count: number,
 	records: readonly ExecutorRecord[],
 ): readonly ExecutorRecord[] {
-	const {failureDomain, index} = sliceOfName(name)
+	const {failureDomain, index} = parseSliceName(name)
 	if (index >= count) return []
 	const own = records.filter(record => record.failureDomain === failureDomain)
 	return count === 1 ? own : own.filter(record => sliceOf(record, count) === index)
@@ -111,7 +111,7 @@
 		return count
 	}
 	return [...claims.values()].filter(({failureDomain: name}) => {
-		const {failureDomain, index} = sliceOfName(name)
+		const {failureDomain, index} = parseSliceName(name)
 		return index === 0 || index < countOf(failureDomain)
 	})
 }
@@ -122,7 +122,7 @@
 /** The instances of a domain that can place a slice, in order of preference. */
 export function placerCandidates(members: readonly Member[]): readonly Member[] {
 	const largest = Math.max(0, ...members.map(({cpuShare}) => cpuShare))
-	return members.filter(({cpuShare}) => cpuShare >= largest * SMALLEST_SHARE).sort(bySize)
+	return members.filter(({cpuShare}) => cpuShare >= largest * MIN_SIZE_RATIO).sort(bySize)
 }
 
 /** How many slices a domain should have; never fewer than now, since executors move to new slices only. */
--- a/packages/jobs/src/decide/speed-cost.ts
+++ b/packages/jobs/src/decide/speed-cost.ts
@@ -7,14 +7,14 @@
 import type {TaskRequest} from "../place/run.js"
 
 /** Safety factor for estimates, which are off by 40%. */
-const DOUBT = 1.5
+const ESTIMATE_MARGIN = 1.5
 /** Below the penalty for sharing an executor with a suspect of crashes. */
-const MOST_COST = 4
+const MAX_COST = 4
 
 type Due = Pick<TaskRequest, "estimateMs" | "startBy">
 
 /** 0 if the task ends in time there, else how late it would be, in multiples of its estimate. */
 export function speedCost(slowness: number, {estimateMs, startBy}: Due, now: number): number {
-	const left = Math.max(0, (startBy - now) / Math.max(1, estimateMs) + 1)
-	return Math.max(0, Math.min(MOST_COST, slowness * DOUBT - left))
+	const budget = Math.max(0, (startBy - now) / Math.max(1, estimateMs) + 1)
+	return Math.max(0, Math.min(MAX_COST, slowness * ESTIMATE_MARGIN - budget))
 }
--- a/packages/jobs/src/decide/speeds.ts
+++ b/packages/jobs/src/decide/speeds.ts
@@ -16,9 +16,9 @@
 }
 
 /** The deviation, as a logarithm, beyond which a run is an outlier: two and a half times the expected. */
-const ODD_LOG = 0.9
+const OUTLIER_LOG = 0.9
 /** Outliers in a row that show a changed speed. */
-const CHANGED_RUNS = 3
+const CHANGE_OUTLIERS = 3
 /** A changed speed is based on the latest run only. */
 const CHANGED_WEIGHT = 1
 /** Bounded so that a speed follows a drift. */
@@ -26,81 +26,81 @@
 /** Higher, since a label has the runs of many executors. */
 const MAX_LABEL_WEIGHT = 60
 /** The weight of a label's speed as a prior for its executors, in runs. */
-const LABEL_RUNS = 1
+const LABEL_PRIOR_RUNS = 1
 /** The weight of an ordinary speed as a prior for labels, in runs. */
-const ORDINARY_RUNS = 4
+const ORDINARY_PRIOR_RUNS = 4
 /** Bounds the ratio of run time over estimate, and its inverse. */
 export const MAX_SPEED_RATIO = 32
 
-const NOTHING: Speed = {mean: 0, weight: 0, outliers: 0}
+const UNKNOWN_SPEED: Speed = {mean: 0, weight: 0, outliers: 0}
 
 const clamp = (value: number, least: number, most: number) => Math.min(most, Math.max(least, value))
 
 /** The expected speed of an executor with a label, as a logarithm, before its first run. */
-export function expectedOf(label: Speed = NOTHING): number {
-	return (label.mean * label.weight) / (label.weight + ORDINARY_RUNS)
+export function expectedLogOf(label: Speed = UNKNOWN_SPEED): number {
+	return (label.mean * label.weight) / (label.weight + ORDINARY_PRIOR_RUNS)
 }
 
-function expectedLog({mean, weight}: Speed, expected: number): number {
-	return (mean * weight + expected * LABEL_RUNS) / (weight + LABEL_RUNS)
+function shrunkLog({mean, weight}: Speed, expected: number): number {
+	return (mean * weight + expected * LABEL_PRIOR_RUNS) / (weight + LABEL_PRIOR_RUNS)
 }
 
 /** The expected run time over the estimate. */
-export function slownessOf(speed: Speed = NOTHING, expected = 0): number {
-	return Math.exp(expectedLog(speed, expected))
+export function slownessOf(speed: Speed = UNKNOWN_SPEED, expected = 0): number {
+	return Math.exp(shrunkLog(speed, expected))
 }
 
 const logOf = (slowness: number) => Math.log(clamp(slowness, 1 / MAX_SPEED_RATIO, MAX_SPEED_RATIO))
 
-function step(speed: Speed, log: number, maxWeight: number, odd: number): Speed {
+function addRun(speed: Speed, log: number, maxWeight: number, outliers: number): Speed {
 	const weight = Math.min(maxWeight, speed.weight + 1)
-	return {mean: speed.mean + (log - speed.mean) / weight, weight, outliers: odd}
+	return {mean: speed.mean + (log - speed.mean) / weight, weight, outliers}
 }
 
 /** The speed of an executor after a run that took `slowness` times its estimate. */
-export function learnRun(speed: Speed = NOTHING, expected: number, slowness: number): Speed {
+export function learnRun(speed: Speed = UNKNOWN_SPEED, expected: number, slowness: number): Speed {
 	const log = logOf(slowness)
-	const known = expectedLog(speed, expected)
-	const off = log - known
-	if (Math.abs(off) <= ODD_LOG)
-		return step(speed, log, MAX_WEIGHT, speed.outliers - Math.sign(speed.outliers))
-	const side = Math.sign(off)
-	const odd = Math.sign(speed.outliers) === side ? speed.outliers + side : side
-	if (Math.abs(odd) >= CHANGED_RUNS) return {mean: log, weight: CHANGED_WEIGHT, outliers: 0}
-	return step(speed, known + side * ODD_LOG, MAX_WEIGHT, odd)
+	const known = shrunkLog(speed, expected)
+	const deviation = log - known
+	if (Math.abs(deviation) <= OUTLIER_LOG)
+		return addRun(speed, log, MAX_WEIGHT, speed.outliers - Math.sign(speed.outliers))
+	const side = Math.sign(deviation)
+	const outliers = Math.sign(speed.outliers) === side ? speed.outliers + side : side
+	if (Math.abs(outliers) >= CHANGE_OUTLIERS) return {mean: log, weight: CHANGED_WEIGHT, outliers: 0}
+	return addRun(speed, known + side * OUTLIER_LOG, MAX_WEIGHT, outliers)
 }
 
 /** The speed of a label after a run; executors with a label differ, so a label has no changes of speed. */
-export function learnLabelRun(label: Speed = NOTHING, slowness: number): Speed {
+export function learnLabelRun(label: Speed = UNKNOWN_SPEED, slowness: number): Speed {
 	const log = logOf(slowness)
-	const near = clamp(log, label.mean - ODD_LOG, label.mean + ODD_LOG)
-	return step(label, near, MAX_LABEL_WEIGHT, 0)
+	const near = clamp(log, label.mean - OUTLIER_LOG, label.mean + OUTLIER_LOG)
+	return addRun(label, near, MAX_LABEL_WEIGHT, 0)
 }
 
 /** Merges the speeds of one executor learnt by an earlier placer and by this one. */
-export function mergeSpeeds(before: Speed, {mean, weight, outliers: odd}: Speed): Speed {
+export function mergeSpeeds(before: Speed, {mean, weight, outliers}: Speed): Speed {
 	const sum = before.weight + weight
-	if (sum === 0) return NOTHING
+	if (sum === 0) return UNKNOWN_SPEED
 	return {
 		mean: (before.mean * before.weight + mean * weight) / sum,
 		weight: Math.min(MAX_WEIGHT, sum),
-		outliers: odd,
+		outliers,
 	}
 }
 
 /** The run time, relative to the expected, from which a run's progress shows its speed. */
-const OVERDUE_TIMES = 1.5
+const OVERDUE_RATIO = 1.5
 
 /** Whether a run's speed should be taken from its progress, after it has run for `ranEstimates` times its estimate. */
 export const isOverdue = (ranEstimates: number, known: number) =>
-	ranEstimates > known * OVERDUE_TIMES
+	ranEstimates > known * OVERDUE_RATIO
 
 /** A run's slowness for the executor's health: a single outlier is capped. */
-export function withoutTail(
+export function capOutlier(
 	slowness: number,
 	known: number,
-	{outliers: odd}: Speed = NOTHING,
+	{outliers}: Speed = UNKNOWN_SPEED,
 ): number {
-	const isChanging = odd >= CHANGED_RUNS - 1
-	return isChanging ? slowness : Math.min(slowness, known * Math.exp(ODD_LOG))
+	const isChanging = outliers >= CHANGE_OUTLIERS - 1
+	return isChanging ? slowness : Math.min(slowness, known * Math.exp(OUTLIER_LOG))
 }
--- a/packages/jobs/src/place/persistent-speeds.ts
+++ b/packages/jobs/src/place/persistent-speeds.ts
@@ -1,12 +1,12 @@
 /** Executor speeds that outlast a placer: learnt by executor and by label, and passed on to successors through the store. */
 import {
-	expectedOf,
+	expectedLogOf,
 	isOverdue,
 	learnLabelRun,
 	learnRun,
 	mergeSpeeds,
 	slownessOf,
-	withoutTail,
+	capOutlier,
 	type Speed,
 } from "../decide/speeds.js"
 import {speedCost} from "../decide/speed-cost.js"
@@ -48,7 +48,8 @@
 	/** Inherited speeds of executors that have not appeared here yet. */
 	const told = new Map<string, Speed>()
 
-	const expectedFor = ({label}: Entry) => (label === undefined ? 0 : expectedOf(labels.get(label)))
+	const expectedFor = ({label}: Entry) =>
+		label === undefined ? 0 : expectedLogOf(labels.get(label))
 
 	function setSpeed(entry: Entry, speed: Speed) {
 		entry.speed = speed
@@ -84,7 +85,7 @@
 		},
 		isOverdue: (executor, ranEstimates) => isOverdue(ranEstimates, factorOf(executor)),
 		judged: (executor, slowness) =>
-			withoutTail(slowness, factorOf(executor), entries.get(executor)?.speed),
+			capOutlier(slowness, factorOf(executor), entries.get(executor)?.speed),
 		costOf: (executor, req) => speedCost(factorOf(executor), req, now()),
 		expectedSlowness: factorOf,
 		forget: executor => void entries.delete(executor),
--- a/packages/jobs/src/place/placer.ts
+++ b/packages/jobs/src/place/placer.ts
@@ -14,7 +14,13 @@
 import {closeLinks, setExecutors} from "./placer-links.js"
 import {startPulse} from "./pulse.js"
 import {loadOf, type PlacerLoad} from "../decide/load.js"
-import {countThatFit, hasPromising, roomFor, usableLinks, waitBeforeMs} from "../decide/room.js"
+import {
+	countThatFit,
+	hasSoonUsable,
+	reportedRoom,
+	usableLinks,
+	waitBeforeMs,
+} from "../decide/room.js"
 import type {OnTaskEnd, TaskHandle, TaskRequest} from "./run.js"
 import {adopt, giveAll, giveExecutors, giveUp, isSettled} from "./succession.js"
 import {createTaskQueue, type WaitingTask} from "./task-queue.js"
@@ -113,9 +119,9 @@
 		submit: (req, onEnd, onStart) => submit(state, req, onEnd, onStart),
 		setExecutors: records => setExecutors(state, records),
 		executors: () => [...state.links.values()].filter(link => !link.isClosed()).map(recordOf),
-		room: () => roomFor(state.links, state.queue, state.judgement),
+		room: () => reportedRoom(state.links, state.queue, state.judgement),
 		counts: () => countsOf(state),
-		canServe: () => hasPromising(state.links),
+		canServe: () => hasSoonUsable(state.links),
 		isStartingUp: () => isBeginning(state),
 		hasTakenOver: () => isSettled(state),
 		expectedWaitMs: startBy =>
--- a/packages/jobs/test/speeds.test.ts
+++ b/packages/jobs/test/speeds.test.ts
@@ -6,11 +6,11 @@
 import {
 	createPersistentSpeeds,
 	createSpeeds,
-	expectedOf,
+	expectedLogOf,
 	learnRun,
 	mergeSpeeds,
 	slownessOf,
-	withoutTail,
+	capOutlier,
 	type Speed,
 } from "@cottonwood/jobs/internals"
 
@@ -69,7 +69,7 @@
 		const after = learnRun(known, 0, 1.6 * TAIL_TIMES)
 		expect(slownessOf(after) / before).to.be.lessThan(1.06)
 		// Smoothed by an eighth, one raw tail on an executor of this speed would pass for a standstill: over three times its estimates.
-		expect(withoutTail(1.6 * TAIL_TIMES, before, known)).to.be.lessThan(4)
+		expect(capOutlier(1.6 * TAIL_TIMES, before, known)).to.be.lessThan(4)
 	})
 
 	it("follows an executor that turns slow by five within ten runs, and back", () => {
@@ -123,7 +123,7 @@
 		const now = {mean: Math.log(1), weight: 1, outliers: 0}
 		expect(Math.exp(mergeSpeeds(before, now).mean)).to.be.within(1.8, 1.9)
 		expect(mergeSpeeds({...before, weight: 0}, {...now, weight: 0}).weight).to.equal(0)
-		expect(expectedOf()).to.equal(0)
+		expect(expectedLogOf()).to.equal(0)
 	})
 
 	it("by a placer for itself is smoothed as ever", () => {
