--- a/packages/jobs/src/decide/load.ts
+++ b/packages/jobs/src/decide/load.ts
@@ -1,6 +1,6 @@
 /** The load of a placer's executors, as input for forecasts: healthy cores, free cores, and the rate at which runs free cores. */
 import type {ExecutorLink} from "../link/executor-link.js"
-import type {Judgement} from "../place/judgement.js"
+import type {ExecutorAssessment} from "../place/executor-assessment.js"
 import type {Run} from "../place/run.js"
 
 const MILLICORES = 1_000
@@ -17,7 +17,7 @@
 export function loadOf(
 	links: ReadonlyMap<string, ExecutorLink>,
 	running: Iterable<Run>,
-	{health, speeds}: Judgement,
+	{health, speeds}: ExecutorAssessment,
 ): PlacerLoad {
 	let healthyCpu = 0
 	let scaledCpu = 0
--- a/packages/jobs/src/decide/room.ts
+++ b/packages/jobs/src/decide/room.ts
@@ -2,7 +2,7 @@
 import type {Room} from "../types/fleet.js"
 import type {Step} from "../types/job.js"
 import type {ExecutorLink} from "../link/executor-link.js"
-import type {Judgement} from "../place/judgement.js"
+import type {ExecutorAssessment} from "../place/executor-assessment.js"
 import type {Speeds} from "../place/executor-speeds.js"
 import type {TaskQueue} from "../place/task-queue.js"
 
@@ -38,8 +38,12 @@
 }
 
 /** The room reported to other placers, without the executors that a task waiting here could use. */
-export function reportedRoom(links: Links, queue: TaskQueue, {health, speeds}: Judgement): Room {
-	const leastCpu = queue.leastCpu()
+export function reportedRoom(
+	links: Links,
+	queue: TaskQueue,
+	{health, speeds}: ExecutorAssessment,
+): Room {
+	const leastCpu = queue.minCpu()
 	const freeCpu: number[] = []
 	const labels = new Set<string>()
 	let scaledCpu = 0
--- a/packages/jobs/src/decide/speeds.ts
+++ b/packages/jobs/src/decide/speeds.ts
@@ -37,7 +37,7 @@
 const clamp = (value: number, least: number, most: number) => Math.min(most, Math.max(least, value))
 
 /** The expected speed of an executor with a label, as a logarithm, before its first run. */
-export function expectedLogOf(label: Speed = UNKNOWN_SPEED): number {
+export function priorLog(label: Speed = UNKNOWN_SPEED): number {
 	return (label.mean * label.weight) / (label.weight + ORDINARY_PRIOR_RUNS)
 }
 
--- a/packages/jobs/src/place/judgement.ts
+++ b/packages/jobs/src/place/executor-assessment.ts
@@ -4,7 +4,7 @@
 import {shortSession, type EventLog, type RunProof} from "../utils/log.js"
 import type {JobMetrics} from "../utils/metrics.js"
 import type {Run, TaskEnd} from "./run.js"
-import {createSpeeds, type Speeds} from "./executor-speeds.js"
+import {createSmoothedSpeeds, type Speeds} from "./executor-speeds.js"
 
 /** The largest share of the executors that is set aside. */
 const MAX_ASIDE_SHARE = 0.4
@@ -13,10 +13,10 @@
 /** How many failed runs a stuck run counts as, so that one is enough to set an executor aside. */
 const STUCK_WEIGHT = 3
 /** Two hold waits of a busy executor; the end of a run that was last seen earlier is late news. */
-const LATE_NEWS_MS = 320
+const LATE_END_MS = 320
 const WHOLE_PERCENT = 100
 
-export interface JudgementDeps {
+export interface AssessmentDeps {
 	readonly clock: Clock
 	readonly log: EventLog
 	readonly metrics: JobMetrics
@@ -26,7 +26,7 @@
 	readonly speeds?: Speeds
 }
 
-export interface Judgement {
+export interface ExecutorAssessment {
 	readonly health: Health
 	readonly speeds: Speeds
 	/** Records the end of a run. */
@@ -36,9 +36,9 @@
 	forget(executor: string): void
 }
 
-export function createJudgement(deps: JudgementDeps): Judgement {
+export function createAssessment(deps: AssessmentDeps): ExecutorAssessment {
 	const {clock, log, metrics, failureDomain, fence} = deps
-	const speeds = deps.speeds ?? createSpeeds()
+	const speeds = deps.speeds ?? createSmoothedSpeeds()
 	const health = createHealth({
 		now: () => clock.now(),
 		maxAsideShare: () => MAX_ASIDE_SHARE,
@@ -50,7 +50,7 @@
 		},
 	})
 
-	function noteEnd(executor: string, run: Run, end: TaskEnd, proof: RunProof) {
+	function logEnd(executor: string, run: Run, end: TaskEnd, proof: RunProof) {
 		const {job, task, run: number, estimateMs, askedBy} = run.req
 		// A run without a result may be repeated elsewhere, so its line is never sampled.
 		const write = end.type === "lost" || end.type === "stopped" ? log.alarm : log.event
@@ -70,15 +70,15 @@
 	}
 
 	/** Runs whose speed was taken from their progress, so that their ends are not counted again. */
-	const foreseen = new WeakSet<Run>()
+	const learntEarly = new WeakSet<Run>()
 
 	/** Learns from an overdue run's progress, long before its end shows that the executor turned slow. */
 	function noteProgress(executor: string, run: Run) {
 		const {estimateMs, isLasting, gang} = run.req
 		const ranEstimates = (clock.now() - run.startedAt) / Math.max(1, estimateMs)
-		if (run.percent === 0 || isLasting || gang || foreseen.has(run)) return
+		if (run.percent === 0 || isLasting || gang || learntEarly.has(run)) return
 		if (!speeds.isOverdue(executor, ranEstimates)) return
-		foreseen.add(run)
+		learntEarly.add(run)
 		speeds.observe(executor, (ranEstimates * WHOLE_PERCENT) / run.percent)
 	}
 
@@ -94,18 +94,18 @@
 		observe(executor, run, end, proof) {
 			const now = clock.now()
 			const tookMs = now - run.startedAt
-			noteEnd(executor, run, end, proof)
+			logEnd(executor, run, end, proof)
 			// If the news of the end is late, only the time up to `seenAt` is certain.
-			const isLateNews = now - run.lastSeenAt > LATE_NEWS_MS
-			const ranMs = isLateNews ? run.lastSeenAt - run.startedAt : tookMs
+			const isLate = now - run.lastSeenAt > LATE_END_MS
+			const ranMs = isLate ? run.lastSeenAt - run.startedAt : tookMs
 			const slowness = ranMs / Math.max(1, run.req.estimateMs)
 			if (run.stopCause === "stuck") return observeStuck(executor, slowness)
 			if (end.type !== "done" && end.type !== "failed") return health.endProbe(executor)
-			const judged = speeds.judged(executor, slowness)
-			health.observe({target: executor, failed: end.type === "failed", slowness: judged})
+			const judgedSlowness = speeds.cappedSlowness(executor, slowness)
+			health.observe({target: executor, failed: end.type === "failed", slowness: judgedSlowness})
 			if (end.type === "failed") return
 			metrics.observe("run_ms", tookMs)
-			if (!isLateNews && !foreseen.has(run)) speeds.observe(executor, slowness)
+			if (!isLate && !learntEarly.has(run)) speeds.observe(executor, slowness)
 		},
 		noteProgress,
 		forget(executor) {
--- a/packages/jobs/src/place/executor-list.ts
+++ b/packages/jobs/src/place/executor-list.ts
@@ -14,13 +14,13 @@
 import type {JobMetrics} from "../utils/metrics.js"
 
 /** With the answer's timeout (0.9 s) and the batching, within the notice of a leaving executor (2 s). */
-const WATCH_MS = 600
+const WATCH_TIMEOUT_MS = 600
 /** Batches changes, since each executor renews its entry about once a second. */
-const GATHER_MS = 400
+const BATCH_MS = 400
 /** By the platform's contract, entries that lapsed while the store was unavailable are renewed by then. */
 const RETURN_GRACE_MS = 2_000
 /** The whole list is read this often, in case a change was missed. */
-const WHOLE_MS = 5_000
+const RELIST_MS = 5_000
 
 export interface ExecutorListDeps {
 	readonly clock: Clock
@@ -53,7 +53,7 @@
 	/** The text and record of each entry as last decoded. */
 	const decoded = new Map<string, {readonly text: string; readonly record: ExecutorRecord}>()
 	/** When the store became unavailable; undefined while it answers. */
-	let awaySince: number | undefined
+	let unavailableSince: number | undefined
 	let graceUntil = -Infinity
 
 	/** Skips decoding for an entry that was renewed unchanged. */
@@ -67,15 +67,15 @@
 		return record
 	}
 
-	function takeItem(item: StoreItem) {
+	function applyItem(item: StoreItem) {
 		const record = decode(item)
-		if (!record) return dropForeign(item.key)
+		if (!record) return dropUnreadable(item.key)
 		listed.add(item.key)
 		known.set(item.key, record)
 	}
 
 	/** Drops an entry that another writer made unreadable. */
-	function dropForeign(key: string) {
+	function dropUnreadable(key: string) {
 		listed.delete(key)
 		if (!known.delete(key)) return
 		deps.metrics.count("broken_assumptions", "executor_entry")
@@ -88,22 +88,22 @@
 		)
 	}
 
-	function takeListing({items, unreadable}: StoreListing) {
-		if (awaySince !== undefined) noteReturn(awaySince)
+	function applyListing({items, unreadable}: StoreListing) {
+		if (unavailableSince !== undefined) noteAvailable(unavailableSince)
 		listed.clear()
-		for (const item of items) takeItem(item)
-		for (const key of unreadable ?? []) dropForeign(key)
-		tell()
+		for (const item of items) applyItem(item)
+		for (const key of unreadable ?? []) dropUnreadable(key)
+		notify()
 	}
 
-	function takeChange({items, deleted, unreadable}: StoreChange) {
-		for (const item of items) takeItem(item)
+	function applyChange({items, deleted, unreadable}: StoreChange) {
+		for (const item of items) applyItem(item)
 		for (const key of deleted) listed.delete(key)
-		for (const key of unreadable ?? []) dropForeign(key)
-		tell()
+		for (const key of unreadable ?? []) dropUnreadable(key)
+		notify()
 	}
 
-	function tell() {
+	function notify() {
 		if (clock.now() >= graceUntil)
 			for (const key of [...known.keys()]) if (!listed.has(key)) forget(key)
 		deps.onList([...known.values()])
@@ -114,9 +114,9 @@
 		decoded.delete(key)
 	}
 
-	function noteReturn(since: number) {
+	function noteAvailable(since: number) {
 		const now = clock.now()
-		awaySince = undefined
+		unavailableSince = undefined
 		graceUntil = now + RETURN_GRACE_MS
 		const fields = {inputAgeMs: Math.round(now - since), count: known.size}
 		deps.log.event(
@@ -127,9 +127,9 @@
 		)
 	}
 
-	function noteAway() {
-		if (awaySince !== undefined) return
-		awaySince = clock.now()
+	function noteUnavailable() {
+		if (unavailableSince !== undefined) return
+		unavailableSince = clock.now()
 		const fields = {count: known.size}
 		deps.log.event("placer", "list_away", "placer: the executor list is unavailable.", fields)
 	}
@@ -139,20 +139,20 @@
 		store,
 		log: deps.log,
 		prefix,
-		waitMs: WATCH_MS,
-		relistMs: WHOLE_MS,
-		batchMs: GATHER_MS,
+		waitMs: WATCH_TIMEOUT_MS,
+		relistMs: RELIST_MS,
+		batchMs: BATCH_MS,
 		isNeeded: deps.isNeeded,
-		onListing: takeListing,
-		onChange: takeChange,
-		onListFailed: noteAway,
+		onListing: applyListing,
+		onChange: applyChange,
+		onListFailed: noteUnavailable,
 	})
 	return {
 		latest: () => (deps.isNeeded() ? [...known.values()] : undefined),
 		recordsOf: failureDomain =>
 			[...known.values()].filter(record => record.failureDomain === failureDomain),
 		readNow: follower.refresh,
-		notifyAgain: tell,
+		notifyAgain: notify,
 		close: follower.close,
 	}
 }
--- a/packages/jobs/src/place/executor-speeds.ts
+++ b/packages/jobs/src/place/executor-speeds.ts
@@ -17,7 +17,7 @@
 	/** Whether a run's progress shows its speed, after it has run for `ranEstimates` times its estimate. */
 	isOverdue(executor: string, ranEstimates: number): boolean
 	/** A run's slowness as it counts for its executor's health. */
-	judged(executor: string, slowness: number): number
+	cappedSlowness(executor: string, slowness: number): number
 	/** The cost of an executor's speed for a task. */
 	costOf(executor: string, req: TaskRequest): number
 	/** The expected run time over the estimate; 1 where it is not known well enough to plan by. */
@@ -26,7 +26,7 @@
 }
 
 /** Exponentially smoothed speeds that are lost with their placer. */
-export function createSpeeds(): Speeds {
+export function createSmoothedSpeeds(): Speeds {
 	const speeds = new Map<string, number>()
 	return {
 		add: () => undefined,
@@ -35,7 +35,7 @@
 			speeds.set(executor, speed + SPEED_STEP * (Math.min(MAX_SLOWNESS, slowness) - speed))
 		},
 		isOverdue: () => false,
-		judged: (_, slowness) => slowness,
+		cappedSlowness: (_, slowness) => slowness,
 		costOf: executor => SLOWNESS_WEIGHT * (speeds.get(executor) ?? 1),
 		expectedSlowness: () => 1,
 		forget: executor => void speeds.delete(executor),
--- a/packages/jobs/src/place/gang.ts
+++ b/packages/jobs/src/place/gang.ts
@@ -1,6 +1,6 @@
 /** Gang scheduling: chooses executors for all members of a gang, or for none. */
 import type {ExecutorLink} from "../link/executor-link.js"
-import type {Judgement} from "./judgement.js"
+import type {ExecutorAssessment} from "./executor-assessment.js"
 import type {TaskRequest} from "./run.js"
 import {chooseExecutor} from "../decide/selection.js"
 import {stepNameOf, type WaitingTask} from "./task-queue.js"
@@ -11,16 +11,16 @@
 export function chooseGang(
 	links: Links,
 	members: readonly WaitingTask[],
-	judgement: Judgement,
+	assessment: ExecutorAssessment,
 ): readonly ExecutorLink[] | undefined {
 	if (members[0]?.req.gang?.wantsOneRack) {
 		for (const rack of racksOf(links)) {
-			const near = new Map([...links].filter(([, link]) => link.record.rack === rack))
-			const places = chooseAll(near, members, judgement)
+			const inRack = new Map([...links].filter(([, link]) => link.record.rack === rack))
+			const places = chooseAll(inRack, members, assessment)
 			if (places) return places
 		}
 	}
-	return chooseAll(links, members, judgement)
+	return chooseAll(links, members, assessment)
 }
 
 function racksOf(links: Links): ReadonlySet<string> {
@@ -32,7 +32,7 @@
 function chooseAll(
 	links: Links,
 	members: readonly WaitingTask[],
-	{health, speeds}: Judgement,
+	{health, speeds}: ExecutorAssessment,
 ): readonly ExecutorLink[] | undefined {
 	const places: ExecutorLink[] = []
 	for (const {req} of members) {
@@ -50,13 +50,13 @@
 	const {maxPerExecutor} = req
 	if (!maxPerExecutor) return links
 	const chosen = (link: ExecutorLink) => places.filter(place => place === link).length
-	const isOpen = (link: ExecutorLink) =>
+	const isBelowLimit = (link: ExecutorLink) =>
 		link.countOf(stepNameOf(req.task)) + chosen(link) < maxPerExecutor
-	return new Map([...links].filter(([, link]) => isOpen(link)))
+	return new Map([...links].filter(([, link]) => isBelowLimit(link)))
 }
 
 /** Whether the whole gang would fit if the executors were idle. */
-export function wouldFitEmpty(links: Links, req: TaskRequest, size: number): boolean {
+export function wouldFitIdle(links: Links, req: TaskRequest, size: number): boolean {
 	let fits = 0
 	for (const link of links.values()) {
 		const {capacity, service} = link.record
--- a/packages/jobs/src/place/persistent-speeds.ts
+++ b/packages/jobs/src/place/persistent-speeds.ts
@@ -1,6 +1,6 @@
 /** Executor speeds that outlast a placer: learnt by executor and by label, and passed on to successors through the store. */
 import {
-	expectedLogOf,
+	priorLog,
 	isOverdue,
 	learnLabelRun,
 	learnRun,
@@ -18,7 +18,7 @@
 	readonly labels: ReadonlyMap<string, Speed>
 }
 
-export interface SpeedFigures {
+export interface SpeedStats {
 	/** Executors with a learnt speed. */
 	readonly known: number
 	/** The slowest of them over the fastest; 1 with fewer than two. */
@@ -32,7 +32,7 @@
 	merge(known: KnownSpeeds): void
 	/** Drops inherited speeds of executors that have not appeared here; returns their number. */
 	dropUnseen(): number
-	stats(): SpeedFigures
+	stats(): SpeedStats
 }
 
 interface Entry {
@@ -46,23 +46,22 @@
 	const entries = new Map<string, Entry>()
 	const labels = new Map<string, Speed>()
 	/** Inherited speeds of executors that have not appeared here yet. */
-	const told = new Map<string, Speed>()
+	const inherited = new Map<string, Speed>()
 
-	const expectedFor = ({label}: Entry) =>
-		label === undefined ? 0 : expectedLogOf(labels.get(label))
+	const expectedFor = ({label}: Entry) => (label === undefined ? 0 : priorLog(labels.get(label)))
 
 	function setSpeed(entry: Entry, speed: Speed) {
 		entry.speed = speed
 		entry.slowness = slownessOf(speed, expectedFor(entry))
 	}
 
-	function takeTold(id: string, entry: Entry) {
-		const before = told.get(id)
-		if (!told.delete(id) || !before) return
+	function mergeInherited(id: string, entry: Entry) {
+		const before = inherited.get(id)
+		if (!inherited.delete(id) || !before) return
 		setSpeed(entry, entry.speed ? mergeSpeeds(before, entry.speed) : before)
 	}
 
-	function factorOf(executor: string): number {
+	function expectedSlowness(executor: string): number {
 		const entry = entries.get(executor)
 		if (!entry) return 1
 		// Without runs of its own the value follows its label's, so it is not cached.
@@ -74,7 +73,7 @@
 			if (entries.has(id)) return
 			const entry: Entry = {label, speed: undefined, slowness: 1}
 			entries.set(id, entry)
-			takeTold(id, entry)
+			mergeInherited(id, entry)
 		},
 		observe(executor, slowness) {
 			const entry = entries.get(executor)
@@ -83,15 +82,15 @@
 			const {label} = entry
 			if (label !== undefined) labels.set(label, learnLabelRun(labels.get(label), slowness))
 		},
-		isOverdue: (executor, ranEstimates) => isOverdue(ranEstimates, factorOf(executor)),
-		judged: (executor, slowness) =>
-			capOutlier(slowness, factorOf(executor), entries.get(executor)?.speed),
-		costOf: (executor, req) => speedCost(factorOf(executor), req, now()),
-		expectedSlowness: factorOf,
+		isOverdue: (executor, ranEstimates) => isOverdue(ranEstimates, expectedSlowness(executor)),
+		cappedSlowness: (executor, slowness) =>
+			capOutlier(slowness, expectedSlowness(executor), entries.get(executor)?.speed),
+		costOf: (executor, req) => speedCost(expectedSlowness(executor), req, now()),
+		expectedSlowness,
 		forget: executor => void entries.delete(executor),
 		known() {
 			// Otherwise speeds of executors that are not listed yet would be lost with this placer.
-			const executors = new Map(told)
+			const executors = new Map(inherited)
 			for (const [id, {speed}] of entries) if (speed) executors.set(id, speed)
 			return {executors, labels}
 		},
@@ -102,14 +101,14 @@
 					mergeSpeeds(speed, labels.get(label) ?? {mean: 0, weight: 0, outliers: 0}),
 				)
 			for (const [id, speed] of known.executors) {
-				told.set(id, speed)
+				inherited.set(id, speed)
 				const entry = entries.get(id)
-				if (entry) takeTold(id, entry)
+				if (entry) mergeInherited(id, entry)
 			}
 		},
 		dropUnseen() {
-			const count = told.size
-			told.clear()
+			const count = inherited.size
+			inherited.clear()
 			return count
 		},
 		stats() {
--- a/packages/jobs/src/place/placer-links.ts
+++ b/packages/jobs/src/place/placer-links.ts
@@ -2,12 +2,12 @@
 import type {ExecutorRecord} from "../types/executor.js"
 import {createExecutorLink, type ExecutorLink} from "../link/executor-link.js"
 import type {PlacerState} from "./placer-state.js"
-import {walkSoon} from "./walk.js"
+import {schedulePass} from "./scheduling-pass.js"
 
 /** Starts nothing more; the runs are left to the next placer. */
 export function closeLinks(state: PlacerState) {
 	state.isClosed = true
-	state.pulse.close()
+	state.stallDetector.close()
 	for (const link of state.links.values()) link.close()
 }
 
@@ -20,13 +20,13 @@
 		else link.update(record)
 	}
 	for (const [id, link] of state.links) if (!listed.has(id)) retireLink(state, id, link)
-	walkSoon(state)
+	schedulePass(state)
 }
 
 export function addLink(state: PlacerState, record: ExecutorRecord): ExecutorLink {
 	const {clock, orders, log, metrics, fence, leaseRule, stopGraceMs, onFenced, isEvacuated} =
 		state.deps
-	const {speeds} = state.judgement
+	const {speeds} = state.assessment
 	speeds.add(record)
 	const orphansWaitUntil = state.createdAt + state.deps.orphansWaitMs
 	const link = createExecutorLink(record, {
@@ -43,10 +43,10 @@
 		tickets: state.tickets,
 		losses: state.losses,
 		runCounts: state.runCounts,
-		onRoom: () => walkSoon(state),
+		onRoom: () => schedulePass(state),
 		onFenced,
-		onRunEnd: state.judgement.observe,
-		onProgress: state.judgement.noteProgress,
+		onRunEnd: state.assessment.observe,
+		onProgress: state.assessment.noteProgress,
 		slownessOf: speeds.expectedSlowness,
 	})
 	state.links.set(record.id, link)
@@ -60,7 +60,7 @@
 	if (!link.isIdle()) return
 	link.close()
 	state.links.delete(id)
-	state.judgement.forget(id)
+	state.assessment.forget(id)
 	const fields = {executor: id, failureDomain: state.deps.failureDomain}
 	state.deps.log.event("placer", "executor_dropped", "placer: an executor left the list.", fields)
 }
--- a/packages/jobs/src/place/placer-state.ts
+++ b/packages/jobs/src/place/placer-state.ts
@@ -5,12 +5,12 @@
 import type {EventLog} from "../utils/log.js"
 import type {JobMetrics} from "../utils/metrics.js"
 import type {ExecutorLink} from "../link/executor-link.js"
-import type {Judgement} from "./judgement.js"
+import type {ExecutorAssessment} from "./executor-assessment.js"
 import type {LeaseRule} from "../decide/lease-rule.js"
 import type {KeptRuns} from "../link/state.js"
 import type {LossDetector} from "../link/loss-detector.js"
 import type {Speeds} from "./executor-speeds.js"
-import type {Pulse} from "./pulse.js"
+import type {StallDetector} from "./stall-detector.js"
 import type {Run, StopCause} from "./run.js"
 import type {TaskQueue, WaitingTask} from "./task-queue.js"
 import type {Tickets} from "./tickets.js"
@@ -58,19 +58,19 @@
 	readonly createdAt: number
 	readonly queue: TaskQueue
 	readonly links: Map<string, ExecutorLink>
-	readonly judgement: Judgement
+	readonly assessment: ExecutorAssessment
 	readonly tickets: Tickets
 	readonly losses: LossDetector
-	readonly pulse: Pulse
+	readonly stallDetector: StallDetector
 	/** The number of runs of each task, over all links. */
 	readonly runCounts: Map<string, number>
 	/** The queue item of each run, for handing it over. */
 	readonly started: Map<Run, WaitingTask>
 	/** Receives all tasks once the placer has transferred everything to its successor. */
 	successor: ((item: WaitingTask, from?: RunLocation) => void) | undefined
-	isWalkDue: boolean
+	isPassDue: boolean
 	/** Whether a waiting task lacks a recent confirmation, so that a later pass may be able to start it. */
-	isHeldBack: boolean
-	isSweepDue: boolean
+	awaitsConfirmation: boolean
+	isDeadlineCheckDue: boolean
 	isClosed: boolean
 }
--- a/packages/jobs/src/place/placer.ts
+++ b/packages/jobs/src/place/placer.ts
@@ -8,11 +8,11 @@
 import type {Room} from "../types/fleet.js"
 import type {Step} from "../types/job.js"
 import type {ExecutorLink} from "../link/executor-link.js"
-import {createJudgement} from "./judgement.js"
+import {createAssessment} from "./executor-assessment.js"
 import {createLossDetector} from "../link/loss-detector.js"
 import type {PlacerDeps, PlacerState, RunLocation} from "./placer-state.js"
 import {closeLinks, setExecutors} from "./placer-links.js"
-import {startPulse} from "./pulse.js"
+import {startStallDetector} from "./stall-detector.js"
 import {loadOf, type PlacerLoad} from "../decide/load.js"
 import {
 	countThatFit,
@@ -22,17 +22,17 @@
 	waitBeforeMs,
 } from "../decide/room.js"
 import type {OnTaskEnd, TaskHandle, TaskRequest} from "./run.js"
-import {adopt, giveAll, giveExecutors, giveUp, isSettled} from "./succession.js"
+import {adopt, handOverAll, handOverExecutors, relinquish, hasTakenOver} from "./succession.js"
 import {createTaskQueue, type WaitingTask} from "./task-queue.js"
 import {createTickets} from "./tickets.js"
-import {walkSoon} from "./walk.js"
+import {schedulePass} from "./scheduling-pass.js"
 
 /** When a task from another placer is returned if it found no room. */
 const FOREIGN_WAIT_MS = 40
 /** By then the list was read and executors have answered, even in a process that has just started. */
-const BEGINNING_MS = 400
+const STARTUP_MS = 400
 /** The interval of deadline checks. */
-const SWEEP_MS = 25
+const DEADLINE_CHECK_MS = 25
 
 export interface Placer {
 	submit(req: TaskRequest, onEnd: OnTaskEnd, onStart: () => void): TaskHandle
@@ -103,30 +103,30 @@
 		createdAt: deps.clock.now(),
 		queue: createTaskQueue(),
 		links: new Map(),
-		judgement: createJudgement(deps),
+		assessment: createAssessment(deps),
 		losses: createLossDetector(deps.clock),
-		tickets: createTickets({...deps, onTickets: () => walkSoon(state)}),
-		pulse: startPulse(deps.clock),
+		tickets: createTickets({...deps, onTickets: () => schedulePass(state)}),
+		stallDetector: startStallDetector(deps.clock),
 		runCounts: new Map(),
 		started: new Map(),
 		successor: undefined,
-		isWalkDue: false,
-		isHeldBack: false,
-		isSweepDue: false,
+		isPassDue: false,
+		awaitsConfirmation: false,
+		isDeadlineCheckDue: false,
 		isClosed: false,
 	}
 	return {
 		submit: (req, onEnd, onStart) => submit(state, req, onEnd, onStart),
 		setExecutors: records => setExecutors(state, records),
 		executors: () => [...state.links.values()].filter(link => !link.isClosed()).map(recordOf),
-		room: () => reportedRoom(state.links, state.queue, state.judgement),
+		room: () => reportedRoom(state.links, state.queue, state.assessment),
 		counts: () => countsOf(state),
 		canServe: () => hasSoonUsable(state.links),
-		isStartingUp: () => isBeginning(state),
-		hasTakenOver: () => isSettled(state),
+		isStartingUp: () => isStartingUp(state),
+		hasTakenOver: () => hasTakenOver(state),
 		expectedWaitMs: startBy =>
-			waitBeforeMs(state.links, state.queue, state.judgement.speeds, startBy, deps.clock.now()),
-		load: () => loadOf(state.links, state.started.keys(), state.judgement),
+			waitBeforeMs(state.links, state.queue, state.assessment.speeds, startBy, deps.clock.now()),
+		load: () => loadOf(state.links, state.started.keys(), state.assessment),
 		work: () => state.queue.work(),
 		workBefore: startBy => state.queue.workBefore(startBy, deps.clock.now()),
 		hasRoomFor: (step, service) => hasRoomFor(state, step, service),
@@ -134,16 +134,16 @@
 			for (const link of state.links.values()) if (!link.isClosed()) link.offerOrphans()
 		},
 		placeWaiting() {
-			if (state.queue.size() > 0) walkSoon(state)
+			if (state.queue.size() > 0) schedulePass(state)
 		},
 		noteEvacuation() {
-			returnForeign(state)
-			walkSoon(state)
+			returnForeignTasks(state)
+			schedulePass(state)
 		},
 		adopt: (req, from, onEnd) => adopt(state, req, from, onEnd),
-		handOverAll: send => giveAll(state, send),
-		handOverExecutors: (isGiven, send) => giveExecutors(state, isGiven, send),
-		relinquish: () => giveUp(state),
+		handOverAll: send => handOverAll(state, send),
+		handOverExecutors: (isHandedOver, send) => handOverExecutors(state, isHandedOver, send),
+		relinquish: () => relinquish(state),
 		close: () => closeLinks(state),
 	}
 }
@@ -182,46 +182,50 @@
 		return handle
 	}
 	state.queue.push(item)
-	sweepSoon(state)
-	if (req.isForeign) clock.schedule(FOREIGN_WAIT_MS, () => giveBack(state, item, "no room"))
-	if (state.deps.isEvacuated()) clock.schedule(0, () => returnForeign(state))
-	walkSoon(state)
+	scheduleDeadlineCheck(state)
+	if (req.isForeign) clock.schedule(FOREIGN_WAIT_MS, () => returnTask(state, item, "no room"))
+	if (state.deps.isEvacuated()) clock.schedule(0, () => returnForeignTasks(state))
+	schedulePass(state)
 	return handle
 }
 
 /** Returns the tasks of other placers at once while the domain is evacuated. */
-function returnForeign(state: PlacerState) {
+function returnForeignTasks(state: PlacerState) {
 	if (!state.deps.isEvacuated()) return
-	for (const item of state.queue.all()) if (item.req.isForeign) giveBack(state, item, "evacuated")
+	for (const item of state.queue.all()) if (item.req.isForeign) returnTask(state, item, "evacuated")
 }
 
-function giveBack({queue}: PlacerState, item: WaitingTask, cause: string) {
+function returnTask({queue}: PlacerState, item: WaitingTask, cause: string) {
 	if (queue.remove(item)) item.onEnd({type: "returned", cause})
 }
 
 /** Checks deadlines while a task waits. */
-function sweepSoon(state: PlacerState) {
-	if (state.isSweepDue || state.isClosed || state.queue.size() === 0) return
-	state.isSweepDue = true
-	state.deps.clock.schedule(SWEEP_MS, () => {
-		state.isSweepDue = false
+function scheduleDeadlineCheck(state: PlacerState) {
+	if (state.isDeadlineCheckDue || state.isClosed || state.queue.size() === 0) return
+	state.isDeadlineCheckDue = true
+	state.deps.clock.schedule(DEADLINE_CHECK_MS, () => {
+		state.isDeadlineCheckDue = false
 		for (const item of state.queue.expired(state.deps.clock.now()))
-			giveBack(state, item, "deadline")
-		if (state.isHeldBack) walkSoon(state)
-		sweepSoon(state)
+			returnTask(state, item, "deadline")
+		if (state.awaitsConfirmation) schedulePass(state)
+		scheduleDeadlineCheck(state)
 	})
 }
 
-function isBeginning({links, deps, createdAt}: PlacerState): boolean {
-	if (deps.clock.now() - createdAt >= BEGINNING_MS) return false
+function isStartingUp({links, deps, createdAt}: PlacerState): boolean {
+	if (deps.clock.now() - createdAt >= STARTUP_MS) return false
 	return [...links.values()].every(link => !link.isFenceTaken())
 }
 
-function hasRoomFor({links, judgement}: PlacerState, step: Step, service: string): boolean {
-	const open = usableLinks(links).filter(
+function hasRoomFor(
+	{links, assessment: judgement}: PlacerState,
+	step: Step,
+	service: string,
+): boolean {
+	const available = usableLinks(links).filter(
 		({record}) => record.service === service && judgement.health.isUsable(record.id),
 	)
-	return countThatFit(open, step) >= step.count
+	return countThatFit(available, step) >= step.count
 }
 
 function countsOf({queue, links}: PlacerState): PlacerCounts {
--- a/packages/jobs/src/place/walk.ts
+++ b/packages/jobs/src/place/scheduling-pass.ts
@@ -1,61 +1,62 @@
 /** A scheduling pass of a placer: goes through the queue in order, and starts or hands over each task that finds room. */
 import {shortSession} from "../utils/log.js"
 import type {ExecutorLink} from "../link/executor-link.js"
-import {chooseGang, wouldFitEmpty} from "./gang.js"
+import {chooseGang, wouldFitIdle} from "./gang.js"
 import type {Links, PlacerState} from "./placer-state.js"
 import type {TaskRequest} from "./run.js"
 import {chooseExecutor} from "../decide/selection.js"
-import {stepNameOf, type Group, type WaitingTask} from "./task-queue.js"
+import {stepNameOf, type TaskGroup, type WaitingTask} from "./task-queue.js"
 
 /** Groups tried in one pass; those behind rarely find room either. */
-const MAX_GROUPS_PER_WALK = 24
+const MAX_GROUPS_PER_PASS = 24
 /** After this wait a gang blocks the groups behind it, so that room for all its members accumulates. */
 const GANG_PATIENCE_MS = 400
 /** After a stall the event loop has read its sockets by then. */
-const NEWS_MS = 10
+const SOCKET_READ_MS = 10
 /** Two intervals of confirmations. */
-const HEARD_LATE_MS = 200
+const RECENT_CONFIRMATION_MS = 200
 
 /** Schedules a pass, once for all events in a turn of the event loop. */
-export function walkSoon(state: PlacerState) {
-	if (state.isWalkDue) return
-	state.isWalkDue = true
-	setImmediate(() => walk(state))
+export function schedulePass(state: PlacerState) {
+	if (state.isPassDue) return
+	state.isPassDue = true
+	setImmediate(() => runPass(state))
 }
 
-function walk(state: PlacerState) {
-	if (state.pulse.hasStoodStill()) state.deps.clock.schedule(NEWS_MS, () => placeAll(state))
+function runPass(state: PlacerState) {
+	if (state.stallDetector.hasStalled())
+		state.deps.clock.schedule(SOCKET_READ_MS, () => placeAll(state))
 	else placeAll(state)
 }
 
 function placeAll(state: PlacerState) {
-	state.isWalkDue = false
+	state.isPassDue = false
 	if (state.isClosed) return
-	state.isHeldBack = false
+	state.awaitsConfirmation = false
 	if (state.queue.size() > 0) placeInOrder(state)
 	state.deps.onRoomChange()
 }
 
 function placeInOrder(state: PlacerState) {
 	const groups = state.queue.inOrder(state.deps.clock.now())
-	const freest = createFreest(state.links)
-	for (const group of groups.slice(0, MAX_GROUPS_PER_WALK))
+	const freest = createFreestExecutor(state.links)
+	for (const group of groups.slice(0, MAX_GROUPS_PER_PASS))
 		if (placeGroup(state, group, freest) === "hold back") break
 }
 
 /** The executors that may run a group's step; asks for missing tickets. */
-function allowedLinks({links, tickets}: PlacerState, {waiting}: Group): Links {
+function allowedLinks({links, tickets}: PlacerState, {waiting}: TaskGroup): Links {
 	const req = waiting[0]?.req
 	if (!req?.advice) return links
 	const step = stepNameOf(req.task)
 	const allowed = new Map([...links].filter(([id]) => tickets.ticketOf(step, id) !== undefined))
 	const hasEnough = [...allowed.values()].some(link => link.isUsable() && link.hasRoom(req))
-	if (!hasEnough) tickets.want(step, askedFirst(links, req), req.advice)
+	if (!hasEnough) tickets.request(step, freestFirst(links, req), req.advice)
 	return allowed
 }
 
 /** The executors to ask tickets for, freest first, since they should still have room when the ticket arrives. */
-function askedFirst(links: Links, {service}: TaskRequest): readonly string[] {
+function freestFirst(links: Links, {service}: TaskRequest): readonly string[] {
 	return [...links.values()]
 		.filter(link => link.record.service === service && link.isUsable())
 		.sort((a, b) => b.freeCpu() - a.freeCpu())
@@ -63,8 +64,12 @@
 }
 
 /** Starts as many tasks of a group as possible; returns "hold back" to reserve the remaining room for the group. */
-function placeGroup(state: PlacerState, group: Group, freest: Freest): "hold back" | undefined {
-	const {queue, judgement, deps} = state
+function placeGroup(
+	state: PlacerState,
+	group: TaskGroup,
+	freest: FreestExecutor,
+): "hold back" | undefined {
+	const {queue, assessment: judgement, deps} = state
 	const links = allowedLinks(state, group)
 	if (group.waiting[0]?.req.gang) {
 		freest.noteStart()
@@ -82,7 +87,7 @@
 			startOn(state, link, next)
 			freest.noteStart()
 		} else {
-			state.isHeldBack ||= isHeardLate(state, next.req)
+			state.awaitsConfirmation ||= lacksConfirmation(state, next.req)
 			const staysHere = next.req.isForeign || next.req.isKept || next.req.advice
 			if (staysHere || !deps.handOver(next)) return
 			queue.take(group)
@@ -91,19 +96,19 @@
 }
 
 /** Whether the task lacks a recent confirmation, so that the next one may allow its start. */
-function isHeardLate({deps}: PlacerState, {confirmedAt}: TaskRequest): boolean {
-	return deps.clock.now() - confirmedAt() > HEARD_LATE_MS
+function lacksConfirmation({deps}: PlacerState, {confirmedAt}: TaskRequest): boolean {
+	return deps.clock.now() - confirmedAt() > RECENT_CONFIRMATION_MS
 }
 
 /** The largest free capacity of one executor, cached until a task starts. */
-interface Freest {
+interface FreestExecutor {
 	/** Millicores. */
 	cpu(): number
 	noteStart(): void
 }
 
 /** Under load most tasks fit nowhere; this detects it without comparing all executors for each group. */
-function createFreest(links: Links): Freest {
+function createFreestExecutor(links: Links): FreestExecutor {
 	let known: number | undefined
 	return {
 		cpu: () => (known ??= freestCpu(links)),
@@ -126,8 +131,8 @@
 }
 
 /** Starts a gang if there is room for all its members. */
-function placeGang(state: PlacerState, group: Group, links: Links): "hold back" | undefined {
-	const {queue, judgement, deps} = state
+function placeGang(state: PlacerState, group: TaskGroup, links: Links): "hold back" | undefined {
+	const {queue, assessment: judgement, deps} = state
 	const [first] = group.waiting
 	const gang = first?.req.gang
 	if (!first || !gang || group.waiting.length < gang.size) return undefined
@@ -135,7 +140,7 @@
 	const places = chooseGang(links, members, judgement)
 	if (!places) {
 		const isPatient = deps.clock.now() - first.since < GANG_PATIENCE_MS
-		return isPatient || !wouldFitEmpty(links, first.req, gang.size) ? undefined : "hold back"
+		return isPatient || !wouldFitIdle(links, first.req, gang.size) ? undefined : "hold back"
 	}
 	for (const link of places) {
 		const item = queue.take(group)
@@ -162,11 +167,11 @@
 		freeCpu: link.freeCpu(),
 		needCpu: need.cpu,
 		estimateMs,
-		slowness: Math.round(100 * state.judgement.speeds.expectedSlowness(executor)) / 100,
+		slowness: Math.round(100 * state.assessment.speeds.expectedSlowness(executor)) / 100,
 		waitedMs: Math.round(waitedMs),
 		waitingTasks: state.queue.size(),
 	}))
-	state.judgement.health.beginProbe(executor)
+	state.assessment.health.beginProbe(executor)
 	const run = link.start(item.req, end => {
 		state.started.delete(run)
 		return item.onEnd(end)
--- a/packages/jobs/src/place/pulse.ts
+++ b/packages/jobs/src/place/stall-detector.ts
@@ -6,28 +6,28 @@
  */
 import type {Clock} from "@cottonwood/core"
 
-const BEAT_MS = 100
+const TICK_MS = 100
 /** Two thirds of the silence after which peers give up on an instance's calls (600 ms). */
-const STOOD_STILL_MS = 400
+const STALL_MS = 400
 
-export interface Pulse {
+export interface StallDetector {
 	/** Whether the event loop has just stalled and may not have read its sockets yet. */
-	hasStoodStill(): boolean
+	hasStalled(): boolean
 	close(): void
 }
 
-export function startPulse(clock: Clock): Pulse {
-	let beatAt = clock.now()
+export function startStallDetector(clock: Clock): StallDetector {
+	let tickedAt = clock.now()
 	let isClosed = false
 
-	function beat() {
-		beatAt = clock.now()
-		if (!isClosed) clock.schedule(BEAT_MS, beat)
+	function tick() {
+		tickedAt = clock.now()
+		if (!isClosed) clock.schedule(TICK_MS, tick)
 	}
 
-	beat()
+	tick()
 	return {
-		hasStoodStill: () => clock.now() - beatAt > STOOD_STILL_MS,
+		hasStalled: () => clock.now() - tickedAt > STALL_MS,
 		close() {
 			isClosed = true
 		},
--- a/packages/jobs/src/place/succession.ts
+++ b/packages/jobs/src/place/succession.ts
@@ -13,7 +13,7 @@
  * requested before the handover end in half of this. A previous placer that does not know of its replacement learns of it within
  * a hold (400 ms), from any executor that obeys the new fence, and its leases end after that.
  */
-const SETTLED_MS = 2_000
+const TAKEOVER_MS = 2_000
 
 /** Takes over a run that the previous placer had on an executor. */
 export function adopt(
@@ -23,9 +23,9 @@
 	onEnd: OnTaskEnd,
 ): TaskHandle {
 	const known = state.links.get(executor)
-	if (known?.isReplaced()) return tellReplaced(state, executor, onEnd)
+	if (known?.isReplaced()) return reportReplaced(state, executor, onEnd)
 	const link = known && !known.isClosed() ? known : record && addUnlisted(state, record)
-	if (!link) return presumeEnded(state, req, executor, onEnd)
+	if (!link) return reportUnlinked(state, req, executor, onEnd)
 	let stop = () => undefined as void
 	const item: WaitingTask = {
 		req,
@@ -59,14 +59,14 @@
 }
 
 /** Reports a run as lost whose executor has restarted. */
-function tellReplaced({deps}: PlacerState, executor: string, onEnd: OnTaskEnd): TaskHandle {
+function reportReplaced({deps}: PlacerState, executor: string, onEnd: OnTaskEnd): TaskHandle {
 	const end = {type: "lost", executor, cause: "replaced", crash: "possible"} as const
 	deps.clock.schedule(0, () => void onEnd(end))
 	return {cancel: () => undefined}
 }
 
 /** Reports a run on an unknown executor as lost once its lease has certainly ended. */
-function presumeEnded(
+function reportUnlinked(
 	{deps}: PlacerState,
 	{job, task, run, askedBy}: TaskRequest,
 	executor: string,
@@ -77,12 +77,15 @@
 	deps.log.alarm("placer", "run_adopted", "placer: took over a run of the previous placer.", fields)
 	const cause = "its executor is unknown here"
 	const end = {type: "lost", executor, cause, crash: "possible"} as const
-	deps.clock.schedule(SETTLED_MS, () => void onEnd(end))
+	deps.clock.schedule(TAKEOVER_MS, () => void onEnd(end))
 	return {cancel: () => undefined}
 }
 
 /** Transfers all tasks to a successor, which has raised the fence already. */
-export function giveAll(state: PlacerState, send: (item: WaitingTask, from?: RunLocation) => void) {
+export function handOverAll(
+	state: PlacerState,
+	send: (item: WaitingTask, from?: RunLocation) => void,
+) {
 	state.successor = send
 	// Kept jobs are not sent: the successor reads them from the store and finds their runs at the executors.
 	for (const group of state.queue.inOrder(state.deps.clock.now()))
@@ -98,38 +101,38 @@
 }
 
 /** Transfers executors with their runs to another placer, which has raised the fence there already. */
-export function giveExecutors(
+export function handOverExecutors(
 	state: PlacerState,
-	isGiven: (record: ExecutorRecord) => boolean,
+	isHandedOver: (record: ExecutorRecord) => boolean,
 	send: (item: WaitingTask, from: RunLocation) => void,
 ): number {
-	const given = [...state.links.values()].filter(({record}) => isGiven(record))
-	const running = given.flatMap(runsOf)
-	for (const link of given) {
+	const handedOver = [...state.links.values()].filter(({record}) => isHandedOver(record))
+	const running = handedOver.flatMap(runsOf)
+	for (const link of handedOver) {
 		link.release()
 		state.links.delete(link.record.id)
-		state.judgement.forget(link.record.id)
+		state.assessment.forget(link.record.id)
 	}
 	for (const {run, isStarted, record} of running) {
 		const item = state.started.get(run)
 		state.started.delete(run)
 		if (item) send(item, {executor: record.id, record, isStarted, stopCause: run.stopCause})
 	}
-	return given.length
+	return handedOver.length
 }
 
 const runsOf = (link: ExecutorLink) =>
 	link.runs().map(({run, isStarted}) => ({run, isStarted, record: link.record}))
 
 /** Closes the placer, and reports the runs of tasks that other placers handed over, since no one else knows of them. */
-export function giveUp(state: PlacerState) {
+export function relinquish(state: PlacerState) {
 	closeLinks(state)
 	for (const link of state.links.values())
-		for (const {run} of link.runs()) if (run.req.isForeign) tellWhenOver(state, link, run)
+		for (const {run} of link.runs()) if (run.req.isForeign) reportOnceEnded(state, link, run)
 }
 
 /** Reports a run as lost once it has certainly ended: neither this placer nor its successor renews its lease. */
-function tellWhenOver({deps}: PlacerState, {record}: ExecutorLink, {req, onEnd}: Run) {
+function reportOnceEnded({deps}: PlacerState, {record}: ExecutorLink, {req, onEnd}: Run) {
 	const now = deps.clock.now()
 	const endAt = certainEndAt(deps.leaseRule, Math.min(now, req.confirmedAt()))
 	const cause = "its placer lost the domain"
@@ -142,10 +145,10 @@
  * that have not seen the new fence, so each known executor must obey it, or have been replaced. Unlisted executors are covered by
  * time, unless all executors are known.
  */
-export function isSettled({links, deps, createdAt}: PlacerState): boolean {
-	const isOld = deps.clock.now() - createdAt >= SETTLED_MS
+export function hasTakenOver({links, deps, createdAt}: PlacerState): boolean {
+	const isTimeOver = deps.clock.now() - createdAt >= TAKEOVER_MS
 	const areAllKnown = deps.knowsAllExecutors && links.size > 0
 	// The previous placer's runs on a replaced executor have ended with its process.
 	const obeys = (link: ExecutorLink) => link.isFenceTaken() || link.isReplaced()
-	return (isOld || areAllKnown) && [...links.values()].every(obeys)
+	return (isTimeOver || areAllKnown) && [...links.values()].every(obeys)
 }
--- a/packages/jobs/src/place/task-queue.ts
+++ b/packages/jobs/src/place/task-queue.ts
@@ -18,7 +18,7 @@
 	readonly onStart: (stop: () => void) => void
 }
 
-export interface Group {
+export interface TaskGroup {
 	readonly key: string
 	readonly startBy: number
 	readonly waiting: WaitingTask[]
@@ -32,13 +32,13 @@
 	/** Returns whether the task was in the queue. */
 	remove(item: WaitingTask): boolean
 	/** The groups in the order in which they should start. */
-	inOrder(now: number): readonly Group[]
+	inOrder(now: number): readonly TaskGroup[]
 	/** Removes and returns the first task of a group. */
-	take(group: Group): WaitingTask | undefined
+	take(group: TaskGroup): WaitingTask | undefined
 	all(): readonly WaitingTask[]
 	size(): number
 	/** Millicores of the smallest waiting task; Infinity if none waits. */
-	leastCpu(): number
+	minCpu(): number
 	/** Core-milliseconds of waiting work. */
 	work(): number
 	/** Core-milliseconds queued ahead of a task with this latest useful start. */
@@ -62,19 +62,19 @@
 	return [job, ...shape].join("|")
 }
 
-function newGroup(key: string, {startBy, uselessAt, isBegun}: TaskRequest): Group {
+function newGroup(key: string, {startBy, uselessAt, isBegun}: TaskRequest): TaskGroup {
 	return {key, startBy, uselessAt, waiting: [], isBegun}
 }
 
 /** Begun jobs first, since their finished work would be lost with them; then jobs in time, late jobs, and useless ones. */
-function rankOf({isBegun, startBy, uselessAt}: Group, now: number): number {
+function rankOf({isBegun, startBy, uselessAt}: TaskGroup, now: number): number {
 	if (now >= uselessAt) return 3
 	if (isBegun) return 0
 	return startBy < now ? 2 : 1
 }
 
 export function createTaskQueue(): TaskQueue {
-	const groups = new Map<string, Group>()
+	const groups = new Map<string, TaskGroup>()
 	let size = 0
 	let work = 0
 
@@ -115,7 +115,7 @@
 		},
 		all: () => [...groups.values()].flatMap(({waiting}) => waiting),
 		size: () => size,
-		leastCpu() {
+		minCpu() {
 			let least = Infinity
 			for (const {waiting} of groups.values())
 				least = Math.min(least, waiting[0]?.req.need.cpu ?? Infinity)
@@ -131,10 +131,10 @@
 			return before
 		},
 		expired(now) {
-			const gone: WaitingTask[] = []
+			const expired: WaitingTask[] = []
 			for (const group of groups.values())
-				for (const item of group.waiting) if (item.req.deadlineAt <= now) gone.push(item)
-			return gone
+				for (const item of group.waiting) if (item.req.deadlineAt <= now) expired.push(item)
+			return expired
 		},
 	}
 }
--- a/packages/jobs/src/place/tickets.ts
+++ b/packages/jobs/src/place/tickets.ts
@@ -11,11 +11,11 @@
 import type {JobMetrics} from "../utils/metrics.js"
 
 /** Executors named in one call. */
-const ASKED_AT_ONCE = 30
+const MAX_EXECUTORS_PER_CALL = 30
 /** A ticket that expires sooner is not used, since the start takes time to arrive. */
 const TICKET_MARGIN_MS = 60
 /** The timeout of a call beyond its expected time. */
-const ANSWER_SLACK_MS = 400
+const ANSWER_MARGIN_MS = 400
 /** The delay after a call that was not answered, or found the advisor busy. */
 const RETRY_MS = 250
 
@@ -32,20 +32,20 @@
 	/** An executor's valid ticket for a step; undefined if there is none. */
 	ticketOf(step: string, executor: string): string | undefined
 	/** Asks for a step's tickets unless a call is under way; skips executors that have one or were excluded. */
-	want(step: string, executors: readonly string[], timing: AdviceTiming): void
+	request(step: string, executors: readonly string[], timing: AdviceTiming): void
 	/** Drops a ticket that its executor refused. */
 	refuse(step: string, executor: string): void
 	/** Drops the tickets of a step that has ended. */
 	forget(step: string): void
 }
 
-interface Held {
+interface HeldTicket {
 	readonly ticket: string
 	readonly until: number
 }
 
 interface StepTickets {
-	readonly held: Map<string, Held>
+	readonly held: Map<string, HeldTicket>
 	/** Executors that the advisor did not allow; final. */
 	readonly excluded: Set<string>
 	isAsking: boolean
@@ -66,7 +66,7 @@
 		return known
 	}
 
-	function holds(known: StepTickets, executor: string): Held | undefined {
+	function validTicket(known: StepTickets, executor: string): HeldTicket | undefined {
 		const held = known.held.get(executor)
 		return held && clock.now() < held.until ? held : undefined
 	}
@@ -75,7 +75,7 @@
 		const known = stepOf(step)
 		const takesMs = timing.decideMs + timing.perExecutorMs * executors.length
 		const sentAt = clock.now()
-		const reply = await advisor.ask(step, executors, takesMs + ANSWER_SLACK_MS)
+		const reply = await advisor.ask(step, executors, takesMs + ANSWER_MARGIN_MS)
 		metrics.count("advice_calls", reply.type)
 		const tookMs = Math.round(clock.now() - sentAt)
 		const count = reply.type === "advice" ? reply.tickets.size : 0
@@ -103,14 +103,14 @@
 	return {
 		ticketOf(step, executor) {
 			const known = steps.get(step)
-			return known && holds(known, executor)?.ticket
+			return known && validTicket(known, executor)?.ticket
 		},
-		want(step, executors, timing) {
+		request(step, executors, timing) {
 			const known = stepOf(step)
 			if (known.isAsking) return
 			const asked = executors
-				.filter(executor => !known.excluded.has(executor) && !holds(known, executor))
-				.slice(0, ASKED_AT_ONCE)
+				.filter(executor => !known.excluded.has(executor) && !validTicket(known, executor))
+				.slice(0, MAX_EXECUTORS_PER_CALL)
 			if (asked.length === 0) return
 			known.isAsking = true
 			lastCall = lastCall.then(() => ask(step, asked, timing))
--- a/packages/jobs/test/speeds.test.ts
+++ b/packages/jobs/test/speeds.test.ts
@@ -5,8 +5,8 @@
 import {expect} from "chai"
 import {
 	createPersistentSpeeds,
-	createSpeeds,
-	expectedLogOf,
+	createSmoothedSpeeds,
+	priorLog,
 	learnRun,
 	mergeSpeeds,
 	slownessOf,
@@ -88,7 +88,7 @@
 		}
 		expect(Math.min(...followed)).to.be.at.least(17)
 		// A step that is always the same is slow to believe it, or noisy for ever.
-		const learnt = createSpeeds()
+		const learnt = createSmoothedSpeeds()
 		for (let run = 0; run < 10; run++) learnt.observe("e", 5)
 		expect(learnt.expectedSlowness("e")).to.equal(1)
 	})
@@ -123,19 +123,19 @@
 		const now = {mean: Math.log(1), weight: 1, outliers: 0}
 		expect(Math.exp(mergeSpeeds(before, now).mean)).to.be.within(1.8, 1.9)
 		expect(mergeSpeeds({...before, weight: 0}, {...now, weight: 0}).weight).to.equal(0)
-		expect(expectedLogOf()).to.equal(0)
+		expect(priorLog()).to.equal(0)
 	})
 
 	it("by a placer for itself is smoothed as ever", () => {
 		// Kept to the digit where nothing else is switched on: a step of 0.15 from 1 on, runs cut at 4.
-		const speeds = createSpeeds()
+		const speeds = createSmoothedSpeeds()
 		const any = {} as Parameters<typeof speeds.costOf>[1]
 		expect(speeds.costOf("e", any)).to.equal(1)
 		speeds.observe("e", 2)
 		expect(speeds.costOf("e", any)).to.equal(1 + 0.15 * (2 - 1))
 		speeds.observe("e", 9)
 		expect(speeds.costOf("e", any)).to.equal(1.15 + 0.15 * (4 - 1.15))
-		expect(speeds.judged("e", 9)).to.equal(9)
+		expect(speeds.cappedSlowness("e", 9)).to.equal(9)
 		expect(speeds.isOverdue("e", 100)).to.equal(false)
 	})
 })
