--- a/packages/jobs/src/place/executor-assessment.ts
+++ b/packages/jobs/src/place/executor-assessment.ts
@@ -95,7 +95,7 @@
 			const now = clock.now()
 			const tookMs = now - run.startedAt
 			logEnd(executor, run, end, proof)
-			// If the news of the end is late, only the time up to `seenAt` is certain.
+			// If the news of the end is late, only the time up to `lastSeenAt` is certain.
 			const isLate = now - run.lastSeenAt > LATE_END_MS
 			const ranMs = isLate ? run.lastSeenAt - run.startedAt : tookMs
 			const slowness = ranMs / Math.max(1, run.req.estimateMs)
--- a/packages/jobs/src/place/placer.ts
+++ b/packages/jobs/src/place/placer.ts
@@ -78,11 +78,9 @@
 	 * their executor, and tasks submitted later.
 	 */
 	handOverAll(send: (item: WaitingTask, from?: RunLocation) => void): void
-	/**
-	 * Transfers executors with their runs to another placer, which has raised the fence there already. Returns their number.
-	 */
+	/** Transfers executors with their runs to another placer, which has raised the fence there already. Returns their number. */
 	handOverExecutors(
-		isGiven: (record: ExecutorRecord) => boolean,
+		isHandedOver: (record: ExecutorRecord) => boolean,
 		send: (item: WaitingTask, from: RunLocation) => void,
 	): number
 	/** As `close`, after another placer took over: reports handed-over tasks as lost once their runs have certainly ended. */
@@ -217,13 +215,9 @@
 	return [...links.values()].every(link => !link.isFenceTaken())
 }
 
-function hasRoomFor(
-	{links, assessment: judgement}: PlacerState,
-	step: Step,
-	service: string,
-): boolean {
+function hasRoomFor({links, assessment}: PlacerState, step: Step, service: string): boolean {
 	const available = usableLinks(links).filter(
-		({record}) => record.service === service && judgement.health.isUsable(record.id),
+		({record}) => record.service === service && assessment.health.isUsable(record.id),
 	)
 	return countThatFit(available, step) >= step.count
 }
--- a/packages/jobs/src/place/scheduling-pass.ts
+++ b/packages/jobs/src/place/scheduling-pass.ts
@@ -69,7 +69,7 @@
 	group: TaskGroup,
 	freest: FreestExecutor,
 ): "hold back" | undefined {
-	const {queue, assessment: judgement, deps} = state
+	const {queue, assessment, deps} = state
 	const links = allowedLinks(state, group)
 	if (group.waiting[0]?.req.gang) {
 		freest.noteStart()
@@ -81,7 +81,7 @@
 		// A retried task must not run while its previous run is being stopped.
 		if (hasRunOf(state, next.req.task)) return
 		const mayFit = next.req.need.cpu <= freest.cpu()
-		const link = mayFit && chooseExecutor(links, next.req, judgement.health, judgement.speeds)
+		const link = mayFit && chooseExecutor(links, next.req, assessment.health, assessment.speeds)
 		if (link) {
 			queue.take(group)
 			startOn(state, link, next)
@@ -132,12 +132,12 @@
 
 /** Starts a gang if there is room for all its members. */
 function placeGang(state: PlacerState, group: TaskGroup, links: Links): "hold back" | undefined {
-	const {queue, assessment: judgement, deps} = state
+	const {queue, assessment, deps} = state
 	const [first] = group.waiting
 	const gang = first?.req.gang
 	if (!first || !gang || group.waiting.length < gang.size) return undefined
 	const members = group.waiting.slice(0, gang.size)
-	const places = chooseGang(links, members, judgement)
+	const places = chooseGang(links, members, assessment)
 	if (!places) {
 		const isPatient = deps.clock.now() - first.since < GANG_PATIENCE_MS
 		return isPatient || !wouldFitIdle(links, first.req, gang.size) ? undefined : "hold back"
