--- a/packages/jobs/test/admission.test.ts
+++ b/packages/jobs/test/admission.test.ts
@@ -1,6 +1,4 @@
-/**
- * Admission by forecast: what is taken, what goes behind, who is refused in whose place, and when callers are told.
- */
+/** Admission control by forecast: admitted, late, refused and evicted jobs, fair shares, and when callers are told. */
 import {createJobMetrics, silentLog, type Job, type JobEnd, type Queue} from "@cottonwood/jobs"
 import {
 	chooseJobToEvict,
@@ -37,13 +35,12 @@
 }
 const HOPELESS = {startInMs: 300, endInMs: 400}
 
-describe("the judgement of an arrival", () => {
-	it("takes what can be in time behind a short backlog", () => {
+describe("the admission decision", () => {
+	it("admits a job that can be in time behind a short backlog", () => {
 		expect(decideAdmission(asked)).to.eql({type: "admitted"})
 	})
 
-	it("bounds the backlog by how the queue stands to its share", () => {
-		// The same backlog: too long for a queue that has had more than its due, and fine for one that has had less.
+	it("bounds the backlog by the queue's excess over its fair share", () => {
 		const backlogMs = 50
 		const above = decideAdmission({...asked, backlogMs, share: {...EVEN, excess: 0.05}})
 		const below = decideAdmission({...asked, backlogMs, share: {...EVEN, excess: -0.05}})
@@ -51,19 +48,19 @@
 		expect(below).to.eql({type: "admitted"})
 	})
 
-	it("refuses what cannot be in time while all the room is asked for", () => {
+	it("refuses a job that cannot be in time while all capacity is requested", () => {
 		const verdict = decideAdmission({...asked, forecast: HOPELESS})
 		expect(verdict).to.deep.include({type: "refused", reason: "not_in_time"})
 	})
 
-	it("takes it as late once the room is forecast to carry it, and no more of it than that", () => {
+	it("admits it as late once there is spare capacity, and no more late work than that", () => {
 		const later = {...asked, forecast: HOPELESS, requestedRatio: 0.3}
 		expect(decideAdmission(later)).to.eql({type: "late"})
 		expect(decideAdmission({...later, lateBacklogMs: 500}).type).to.equal("refused")
 		expect(decideAdmission({...later, usefulMs: 200}).type).to.equal("refused")
 	})
 
-	it("says that no executor is there rather than that there is load", () => {
+	it("gives the absence of executors as the reason rather than load", () => {
 		const forecast = {startInMs: Infinity, endInMs: Infinity}
 		const verdict = decideAdmission({...asked, forecast, backlogMs: Infinity})
 		expect(verdict).to.deep.include({type: "refused", reason: "no_executor"})
@@ -74,26 +71,26 @@
 	const load: PlacerLoad = {healthyCores: 100, freeCores: 10, freedCoresPerMs: 1}
 	const standing = {load, workBefore: 0, borrowableCores: 0, correction: 1}
 
-	it("is none for what fits, here or with what others lend", () => {
+	it("is no wait for a job that fits, here or into borrowable cores", () => {
 		expect(forecastOf({cores: 10, chainMs: 50}, standing).startInMs).to.equal(0)
 		const lent = {...standing, borrowableCores: 20}
 		expect(forecastOf({cores: 30, chainMs: 50}, lent)).to.eql({startInMs: 0, endInMs: 50})
 	})
 
-	it("goes by the work before and by the cores that runs set free", () => {
+	it("depends on the work ahead and on the rate at which runs free cores", () => {
 		expect(forecastOf({cores: 30, chainMs: 50}, standing).startInMs).to.equal(20)
 		const behind = {...standing, workBefore: 800}
 		expect(forecastOf({cores: 30, chainMs: 50}, behind).startInMs).to.equal(30)
 	})
 
-	it("knows no start without an executor", () => {
+	it("is infinite without an executor", () => {
 		const none = {...standing, load: {healthyCores: 0, freeCores: 0, freedCoresPerMs: 0}}
 		expect(forecastOf({cores: 1, chainMs: 50}, none).startInMs).to.equal(Infinity)
 		expect(drainMs(0, none.load)).to.equal(Infinity)
 	})
 
-	/* Executors turn slow, and every forecast is a third of what comes. It learns that within some hundred jobs, and unlearns it. */
-	it("is corrected by what came, within bounds", () => {
+	/* Executors turn slow, and every wait is three times its forecast; the correction converges within 200 jobs, and back. */
+	it("is corrected by the actual waits, within bounds", () => {
 		let correction = 1
 		for (let job = 0; job < 200; job++)
 			correction = updateCorrection(correction, 60 * correction, 180)
@@ -106,13 +103,13 @@
 		expect(correction).to.be.within(0.5, 0.6)
 	})
 
-	it("is left as it is by a wait that nobody knows", () => {
+	it("is not corrected by an unknown wait", () => {
 		expect(updateCorrection(1.5, Infinity, 10)).to.equal(1.5)
 		expect(updateCorrection(1.5, 10, NaN)).to.equal(1.5)
 	})
 
-	/* Other instances may tell anything; a room of NaN or below 0 lends nothing. */
-	it("counts on no room that cannot be", () => {
+	/* Reports of other instances are not trusted. */
+	it("ignores reported room that is NaN, negative or old", () => {
 		const placer = {session: "b-s"}
 		const view = {
 			claims: () => [{failureDomain: "b", fence: 1, placer}],
@@ -128,7 +125,7 @@
 describe("shares", () => {
 	const askedBy = (all: Readonly<Record<string, number>>) => (name: string) => all[name] ?? 0
 
-	it("are the same ratio of what each queue asks for while none has a weight", () => {
+	it("are the same ratio of each queue's requested work while none has a weight", () => {
 		const dues = duesOf([{name: "a"}, {name: "b"}], askedBy({a: 300, b: 100}), 200)
 		expect([...dues]).to.eql([
 			["a", 150],
@@ -136,7 +133,7 @@
 		])
 	})
 
-	it("go by weight above the floors, and what is not asked for is lent", () => {
+	it("are divided by weight above the floors, and unused shares go to others", () => {
 		const rules = [{name: "a", weight: 3}, {name: "b", weight: 1, floor: 0.5}, {name: "c"}]
 		const dues = duesOf(rules, askedBy({a: 1_000, b: 1_000, c: 10}), 200)
 		expect(dues.get("c")).to.be.closeTo(10, 0.01)
@@ -144,12 +141,12 @@
 		expect(dues.get("a")).to.be.closeTo((90 * 3) / 4, 1.5)
 	})
 
-	it("leave a queue of weight 0 only what nobody else asks for", () => {
+	it("leave a queue of weight 0 only capacity that no other queue requests", () => {
 		const rules = [{name: "a"}, {name: "b", weight: 0}]
 		expect(duesOf(rules, askedBy({a: 500, b: 500}), 200).get("b")).to.equal(0)
 	})
 
-	it("fade, so that an old crest does not count against a queue", () => {
+	it("decay, so that an old peak does not count against a queue", () => {
 		const work = new Map<string, QueueWork>([
 			["a", {requested: 100, served: 100, at: 0}],
 			["b", {requested: 100, served: 20, at: 0}],
@@ -165,11 +162,11 @@
 	const newcomer = {slackMs: 50, work: 10, share: {...EVEN, excess: -0.1}}
 	const waiting = {slackMs: 400, work: 40, share: {...EVEN, excess: 0.1}}
 
-	it("goes in the place of less urgent work of a queue that has had more than its due", () => {
+	it("evicts less urgent work of a queue above its fair share", () => {
 		expect(chooseJobToEvict(newcomer, [waiting])).to.equal(waiting)
 	})
 
-	it("pushes out nothing more urgent, nothing smaller, and nothing that stands alike", () => {
+	it("evicts nothing more urgent, nothing smaller, and nothing of a queue with a similar excess", () => {
 		const others = [
 			{...waiting, slackMs: 20},
 			{...waiting, work: 5},
@@ -179,8 +176,8 @@
 	})
 })
 
-describe("the time to come back", () => {
-	it("follows the forecast and is spread, so that callers do not return together", () => {
+describe("the time to retry", () => {
+	it("follows the forecast and is spread, so that callers do not retry together", () => {
 		const ids = Array.from({length: 400}, (_, at) => at.toString(16).padStart(16, "0"))
 		const seconds = ids.map(id => Math.ceil(retryAfterMsOf(id, 0) / 1_000))
 		expect(new Set(seconds)).to.eql(new Set([1, 2]))
@@ -195,7 +192,7 @@
 	})
 })
 
-/** A placer whose figures a test sets, and the tasks that were submitted to it. */
+/** A placer whose load a test sets, and the tasks that were submitted to it. */
 function createWorld() {
 	const clock = createFakeClock()
 	const load = {healthyCores: 100, freeCores: 0, freedCoresPerMs: 1}
@@ -258,11 +255,8 @@
 const BULK: Queue = {...QUEUE, name: "bulk", priority: 2}
 
 describe("admission at a placer", () => {
-	/*
-	 * A job waits with a good forecast; then half the executors crash and the work before it would take a second. A patience
-	 * of 0.6 objectives told its caller after 0.13 s more; it is told at the next look, while it has time to go elsewhere.
-	 */
-	it("tells a caller within 50 ms that its job cannot be in time any more", async () => {
+	/* Most executors crash while a job waits; its caller must be told while another domain can still take the job. */
+	it("refuses a waiting job within 50 ms once it can no longer be in time", async () => {
 		const world = createWorld()
 		const {clock, figures, admission} = world
 		const job = world.jobOf(QUEUE, 100)
@@ -278,11 +272,8 @@
 		expect((end as {retryAfterMs?: number}).retryAfterMs).to.be.greaterThan(0)
 	})
 
-	/*
-	 * All instances have lost power, and calls come before any executor has answered the new placer. No start is forecast
-	 * then, but within a moment there are executors: the jobs wait for them, and are judged once it has begun.
-	 */
-	it("keeps what waits for a placer that has only just begun", async () => {
+	/* Before any executor has answered a new placer no start is forecast, which must not refuse its jobs. */
+	it("keeps jobs waiting while their placer starts up", async () => {
 		const world = createWorld()
 		const {clock, figures, admission} = world
 		figures.isBeginning = true
@@ -297,8 +288,8 @@
 		expect(await endOf(run)).to.deep.include({type: "refused", kind: "no_capacity"})
 	})
 
-	/* Whatever was started may have run, so its caller must not be told that it never did. */
-	it("refuses nothing of which something has started", async () => {
+	/* A started task may have run, so its caller must not be told that it did not. */
+	it("refuses no job of which a task has started", async () => {
 		const world = createWorld()
 		const {clock, figures} = world
 		const job = world.jobOf(QUEUE, 100)
@@ -311,11 +302,8 @@
 		expect(await endOf(run)).to.equal("open")
 	})
 
-	/*
-	 * Long work of a queue that has had all that it asked for fills the backlog. An urgent job of a queue of which most was
-	 * refused takes the place of what nothing has started, and that caller is told at once.
-	 */
-	it("lets an urgent newcomer push out waiting work of a queue above its share", async () => {
+	/* Long work of a queue above its fair share fills the backlog, and urgent jobs of another queue are refused. */
+	it("lets an urgent newcomer evict waiting work of a queue above its share", async () => {
 		const world = createWorld()
 		const {admission, figures} = world
 		figures.load = {...figures.load, healthyCores: 1}
@@ -331,8 +319,7 @@
 		expect(await endOf(run)).to.deep.include({type: "refused"})
 	})
 
-	/* It is of use until its deadline, so it waits, but at no placer does work that can be in time wait for it. */
-	it("puts late work behind all that can be in time, at any placer", async () => {
+	it("queues late jobs behind all that can be in time, at any placer", async () => {
 		const world = createWorld()
 		const job = world.jobOf(QUEUE, 100)
 		world.follow(job, QUEUE, true)
--- a/packages/jobs/test/crashes.test.ts
+++ b/packages/jobs/test/crashes.test.ts
@@ -1,7 +1,4 @@
-/**
- * Tasks under which executors crash: how that is told from a run that was merely lost, where a suspect runs next, and
- * when it is given up.
- */
+/** Poison tasks: telling crashes from lost runs, isolating suspects, and giving up. */
 import {
 	createJobMetrics,
 	silentLog,
@@ -16,7 +13,7 @@
 import {createTestPlacer} from "./support/placers.js"
 import {QUEUE, taskRequest} from "./support/requests.js"
 
-/** Executors of which one is gone: nothing listens at its address, or nothing is heard of it. */
+/** Wraps executors so that they can be made to refuse connections or to be silent. */
 function withLoss(fleet: FakeExecutors, clock: FakeClock, lost: {how?: "refused" | "silent"}) {
 	async function unless<T>(timeoutMs: number, answer: () => Promise<T>) {
 		if (!lost.how) return answer()
@@ -57,19 +54,19 @@
 	return ends.map(end => (end.type === "lost" ? end.crash : end.type))
 }
 
-describe("an executor's end under its runs", () => {
-	it("is a crash when nothing listens there any more, or another life answers", async () => {
+describe("the end of an executor with runs", () => {
+	it("is a crash when connections are refused, or a restarted executor answers", async () => {
 		expect(await loseRuns(["j.0.0.0"], "refused")).to.eql(["alone"])
 		expect(await loseRuns(["j.0.0.0"], "replaced")).to.eql(["alone"])
 		const beside: readonly Crash[] = ["beside others", "beside others"]
 		expect(await loseRuns(["j.0.0.0", "k.0.0.0"], "refused")).to.eql(beside)
 	})
 
-	it("may be a crash when it is silent, which a cut looks like too", async () => {
+	it("is a possible crash when the executor is silent, which a network partition causes too", async () => {
 		expect(await loseRuns(["j.0.0.0"], "silent")).to.eql(["possible"])
 	})
 
-	it("is nothing that its tasks have done when it was leaving", async () => {
+	it("is no crash when the executor was leaving", async () => {
 		const clock = createFakeClock()
 		const fleet = new FakeExecutors(clock)
 		const placer = createTestPlacer({clock, orders: fleet})
@@ -86,7 +83,7 @@
 	})
 })
 
-describe("a task under which an executor has crashed", () => {
+describe("a task whose executor has crashed", () => {
 	async function createPair() {
 		const clock = createFakeClock()
 		const orders = new FakeFleet(clock)
@@ -106,17 +103,17 @@
 		return {place}
 	}
 
-	it("runs where nothing else does, and others go elsewhere, as far as there is room", async () => {
+	it("runs alone and others run elsewhere, if there is room", async () => {
 		const {place} = await createPair()
 		const first = await place("j.0.0.0")
 		const suspect = await place("s.0.0.0", {isolation: "preferred"})
 		expect(suspect).to.not.equal(first)
 		expect(await place("j.0.0.1")).to.equal(first)
-		// Now there is room beside the suspect alone.
+		// The only room left is beside the suspect.
 		expect(await place("j.0.0.2")).to.equal(suspect)
 	})
 
-	it("waits for an executor of its own once it has to run alone, and keeps it", async () => {
+	it("waits for an idle executor once it must run alone, and no other task joins it", async () => {
 		const {place} = await createPair()
 		await place("j.0.0.0")
 		const loner = await place("s.0.0.0", {isolation: "required"})
@@ -152,7 +149,7 @@
 	})
 	let end: Awaited<typeof run.ended> | undefined
 	void run.ended.then(value => (end = value))
-	/** The newest run ends with its executor; returns how the next one is to be placed. */
+	/** Ends the latest run with its executor; returns the isolation of the next one. */
 	async function crash(how: Crash | undefined) {
 		submitted.at(-1)?.onEnd({type: "lost", executor: "e", cause: "test", crash: how})
 		await clock.advance(30)
@@ -163,7 +160,7 @@
 }
 
 describe("a job with a task that crashes its executors", () => {
-	it("fails after two crashes, the last of them under the task alone", async () => {
+	it("fails after two crashes, the last with the task alone", async () => {
 		const {crash, starts, end} = createRun()
 		expect(await crash("beside others")).to.equal("preferred")
 		await crash("alone")
@@ -171,7 +168,7 @@
 		expect(starts()).to.equal(2)
 	})
 
-	it("is never started three times more after three crashes", async () => {
+	it("is not started again after three known crashes, or after five possible ones", async () => {
 		const {crash, starts, end} = createRun()
 		expect(await crash("alone")).to.equal("preferred")
 		expect(await crash("beside others")).to.equal("required")
@@ -184,13 +181,13 @@
 		expect(silent.starts()).to.equal(5)
 	})
 
-	it("is kept apart after two runs of which nothing was heard", async () => {
+	it("isolates the task after two runs on executors that became silent", async () => {
 		const {crash} = createRun()
 		expect(await crash("possible")).to.equal(undefined)
 		expect(await crash("possible")).to.equal("preferred")
 	})
 
-	it("is not failed for having stood beside one, nor for runs that were lost on the way", async () => {
+	it("does not fail for crashes beside other tasks, nor for lost runs", async () => {
 		const {crash, end} = createRun()
 		await crash("beside others")
 		await crash("beside others")
--- a/packages/jobs/test/domain-choice.test.ts
+++ b/packages/jobs/test/domain-choice.test.ts
@@ -1,6 +1,4 @@
-/**
- * Which failure domain a job goes to, by what the others told.
- */
+/** The choice of a failure domain for a whole job, from the reports of other domains. */
 import type {Job, Queue} from "@cottonwood/jobs"
 import {
 	chooseDomain,
@@ -56,8 +54,8 @@
 	{own = FULL, need = NEED, crossDomainMs = 0} = {},
 ): string | undefined => chooseDomain(own, all, need, crossDomainMs)?.failureDomain
 
-describe("choice of a job's domain", () => {
-	it("is where it fits whole, by the forecast of both sides", () => {
+describe("choice of a job's failure domain", () => {
+	it("is a domain that has room for the whole job, with the forecast waits of both domains", () => {
 		const choice = chooseDomain(FULL, [news("b")], NEED, 0)
 		expect(choice?.failureDomain).to.equal("b")
 		expect(choice?.hereMs).to.be.greaterThan(100)
@@ -65,26 +63,26 @@
 		expect(choice?.newsAgeMs).to.equal(20)
 	})
 
-	it("is the own one unless the gain is as large as the operator asks", () => {
+	it("is the job's own domain unless the gain reaches the operator's threshold", () => {
 		expect(chosen([news("b")], {crossDomainMs: 100})).to.equal("b")
 		expect(chosen([news("b")], {crossDomainMs: 200})).to.equal(undefined)
-		// Work of a millisecond is done before the job is there.
+		// The queue takes a millisecond, less than the round trip to another domain.
 		const short = {...FULL, totalCpu: 6_400_000}
 		expect(chosen([news("b")], {own: short})).to.equal(undefined)
 	})
 
-	it("takes what has waited long without a place to wait as long again, whatever the queue says", () => {
+	it("forecasts at least the wait so far, whatever the queue's length", () => {
 		const own = {...FULL, waitingWork: 0, totalCpu: 6_400_000, waitedMs: 40}
 		expect(forecastLocalStartMs(own, NEED)).to.equal(40)
 		expect(chosen([news("b")], {own})).to.equal("b")
 	})
 
-	it("is the one with more room left, of two that would start it alike", () => {
+	it("is the domain with more free capacity, of two with the same forecast", () => {
 		expect(chosen([news("b"), news("c", {freeCpu: [16_000, 8_000]})])).to.equal("b")
 		expect(chosen([news("b", {freeCpu: [16_000, 8_000]}), news("c")])).to.equal("c")
 	})
 
-	it("is none that is emptied, leaving, unreached, strained, cut off, or just beginning", () => {
+	it("is no domain that is evacuated, leaving, unreachable, strained, silent, or just starting up", () => {
 		const unfit: readonly Partial<DomainReport>[] = [
 			{isEvacuated: true},
 			{isLeaving: true},
@@ -98,28 +96,28 @@
 			expect(chosen([news("b", changes)]), JSON.stringify(changes)).to.equal(undefined)
 	})
 
-	it("is none whose news is older than two beats", () => {
+	it("is no domain whose report is older than two heartbeats", () => {
 		expect(chosen([news("b", {ageMs: 501})])).to.equal(undefined)
 	})
 
-	it("is none that lacks a label, and none that had the job before", () => {
+	it("is no domain that lacks a label, and none that had the job before", () => {
 		expect(chosen([news("b")], {need: {...NEED, labels: ["r1"]}})).to.equal(undefined)
 		expect(chosen([news("b", {labels: ["r1"]})], {need: {...NEED, labels: ["r1"]}})).to.equal("b")
 		expect(chosen([news("b")], {need: {...NEED, been: ["b"]}})).to.equal(undefined)
 	})
 
-	/* A queue elsewhere may refuse it too, and a job that was taken here loses its place. */
-	it("is a queue elsewhere only for a job that is refused here and would be in time there", () => {
+	/* Another queue may refuse the job too, and a job admitted here would lose its place. */
+	it("is a domain with a queue only for a job that is refused here and would be in time there", () => {
 		const queue = news("b", {reportedCpu: [], freeCpu: [], waitingWork: 800})
 		const refusing = {...FULL, wouldRefuse: true}
 		expect(chosen([queue])).to.equal(undefined)
 		expect(chosen([queue], {own: refusing})).to.equal("b")
 		expect(chosen([queue], {own: refusing, need: {...NEED, startInMs: 50}})).to.equal(undefined)
-		// Its queue may have grown since it told of it.
+		// The queue may have grown since the report.
 		expect(chosen([{...queue, ageMs: 150}], {own: refusing})).to.equal(undefined)
 	})
 
-	it("is left to jobs of plain tasks that may still move", () => {
+	it("is made only for jobs of plain tasks that may still move", () => {
 		const step = {count: 2, need: {cpu: 8_000, memoryMb: 1, accelerators: 0}, estimateMs: 100}
 		const job: Job = {
 			id: "00000000000000aa",
--- a/packages/jobs/test/ended-placing.test.ts
+++ b/packages/jobs/test/ended-placing.test.ts
@@ -1,7 +1,6 @@
 /**
- * A placer that loses its domain tells its own jobs that they are given up, but not the tasks that other placers had handed to it: their
- * calls stayed open until the deadline of their jobs, which waited for them, and counted here as work under way for ever, also
- * after they were cancelled.
+ * Guards against a placer that loses its domain without reporting the end of tasks handed over by other placers: their calls
+ * would stay open until the deadline.
  */
 import {createJobMetrics, silentLog, type Claim} from "@cottonwood/jobs"
 import {createHostedPlacers, type Keeper, type TaskEnd} from "@cottonwood/jobs/internals"
@@ -19,7 +18,7 @@
 const ignore = () => undefined
 
 describe("a placer that loses its domain", () => {
-	it("tells the end of what other placers had handed to it, once that is certain", async () => {
+	it("reports tasks of other placers as lost once their runs have certainly ended", async () => {
 		const clock = createFakeClock()
 		const keeper = {...NO_KEPT_RUNS, begin: ignore, close: ignore, jobCount: () => 0}
 		const hosts = createHostedPlacers({
--- a/packages/jobs/test/given-executors.test.ts
+++ b/packages/jobs/test/given-executors.test.ts
@@ -1,8 +1,6 @@
 /**
- * Executors that go to another slice's placer with what runs there.
- *
- * The placer that gave them counted their runs for ever, so a task that came anew there, since its run had been lost, was
- * taken for one that still runs and was never started. What settled it: runs that are given are counted no more.
+ * Executors that are handed over to another slice's placer with their runs. Guards against a placer that still counts these
+ * runs, and so never starts a retry of such a task.
  */
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
@@ -13,8 +11,8 @@
 const TASK = "j.0.0.0"
 const ignore = () => undefined
 
-describe("executors that are given to another placer", () => {
-	it("hold back no task that comes anew", async () => {
+describe("executors that are handed over to another placer", () => {
+	it("do not block a retry of a task that ran there", async () => {
 		const clock = createFakeClock()
 		const fleet = new FakeFleet(clock)
 		const placer = createTestPlacer({clock, orders: fleet})
--- a/packages/jobs/test/lease-rule.test.ts
+++ b/packages/jobs/test/lease-rule.test.ts
@@ -1,6 +1,4 @@
-/**
- * The rule that ends every run in time for callers that come back, whatever the clocks of both sides do within the contract.
- */
+/** The lease rule: every run ends before its caller may retry, for any clock rates within the platform's contract. */
 import {leaseRuleFor} from "@cottonwood/jobs"
 import {
 	certainEndAt,
@@ -14,10 +12,10 @@
 import {LEASE_RULE} from "./support/requests.js"
 
 const RESUBMIT_MS = 1_300
-/** Callers' packets, and the one that tells the other side of a broken connection. */
+/** The network delay that the rule leaves to callers. */
 const WAY_MS = 50
 
-/** An executor whose steady clock runs at some rate: what its clock shows at a time here, and the reverse. */
+/** Converts between this process's clock and that of an executor with the given rate and offset. */
 function executorAt(rate: number, offset: number) {
 	return {
 		clockAt: (now: number) => offset + now * rate,
@@ -33,11 +31,11 @@
 })
 
 describe("lease rule", () => {
-	it("ends every run before its caller may come back", () => {
+	it("ends every run before its caller may retry", () => {
 		expect(LEASE_RULE.endsWithinMs + WAY_MS).to.be.at.most(RESUBMIT_MS)
 	})
 
-	it("asks for no lease under which a run goes on for longer than it may, at any rate of the executor's clock", () => {
+	it("requests no lease under which a run could go on for too long, at any rate of the executor's clock", () => {
 		fc.assert(
 			fc.property(scene, ({rate, offset, readingAgeMs, confirmationAgeMs}) => {
 				const now = 100_000
@@ -55,7 +53,7 @@
 		)
 	})
 
-	it("never says too early that a lease has ended, and says so in the end", () => {
+	it("never takes a lease as ended too early, and does so in the end", () => {
 		fc.assert(
 			fc.property(scene, ({rate, offset, readingAgeMs}) => {
 				const now = 100_000
@@ -72,7 +70,7 @@
 		)
 	})
 
-	it("lets nothing begin under leases that outlast what its confirmation allows", () => {
+	it("starts no run under leases that outlast its confirmation", () => {
 		const now = 5_000
 		const leasesEndAt = now + LEASE_RULE.longestEndMs
 		const oldest = leasesEndAt - LEASE_RULE.endsWithinMs
@@ -91,7 +89,7 @@
 		).to.equal(false)
 	})
 
-	it("lets a task begin beside a lease that was just asked for, at the age that confirmations have", () => {
+	it("starts a run with a confirmation of typical age beside a lease that was just requested", () => {
 		const now = 5_000
 		const leasesEndAt = now + LEASE_RULE.longestEndMs
 		expect(
@@ -99,7 +97,7 @@
 		).to.equal(true)
 	})
 
-	it("lets nothing of callers begin where they come back too soon for any lease", () => {
+	it("starts no run of a caller where callers retry too soon for any lease", () => {
 		const rule = leaseRuleFor({resubmitMs: 480, maxLeaseMs: 1_000, stopGraceMs: 50})
 		const now = 5_000
 		const fresh = {confirmedAt: now, neighboursConfirmedAt: Infinity, leasesEndAt: -Infinity}
@@ -107,17 +105,17 @@
 		expect(mayStart(rule, {...fresh, confirmedAt: Infinity}, now)).to.equal(true)
 	})
 
-	it("asks for the longest lease that executors grant where callers come back late", () => {
+	it("requests the longest lease that executors grant where callers retry late", () => {
 		const rule = leaseRuleFor({resubmitMs: 5_000, maxLeaseMs: 1_000, stopGraceMs: 50})
 		expect(rule.longestLeaseMs).to.equal(1_000)
 	})
 
-	it("leaves more room for executors that take longer to stop what runs", () => {
+	it("requests shorter leases from executors that take longer to stop runs", () => {
 		const slow = leaseRuleFor({resubmitMs: 1_300, maxLeaseMs: 1_000, stopGraceMs: 150})
 		expect(slow.longestLeaseMs).to.be.lessThan(LEASE_RULE.longestLeaseMs)
 	})
 
-	it("goes by the later of two readings, whichever answer comes first", () => {
+	it("uses the later of two clock readings, whichever answer arrives first", () => {
 		const clock = createExecutorClock(LEASE_RULE)
 		clock.observe(10_000, 500)
 		clock.observe(9_900, 510)
--- a/packages/jobs/test/placer.test.ts
+++ b/packages/jobs/test/placer.test.ts
@@ -1,6 +1,4 @@
-/**
- * The placer and its links: room, fences, leases, and orders whose answers are lost.
- */
+/** The placer and its links to executors: room, fences, leases, and orders without an answer. */
 import type {PlacerDeps, TaskEnd} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
@@ -41,7 +39,7 @@
 		expect(orders.starts).to.have.length(1)
 	})
 
-	it("never starts more than fits, and goes on when room appears", async () => {
+	it("never starts more tasks than fit, and starts the next when room appears", async () => {
 		const {clock, orders, placer, ends, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -67,7 +65,7 @@
 		expect(ends.map(({type}) => type)).to.eql(["done"])
 	})
 
-	it("keeps a run's room until the lease of a silent executor has certainly ended", async () => {
+	it("keeps a run's room reserved until the lease of a silent executor has certainly ended", async () => {
 		const {clock, orders, placer, ends, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -77,12 +75,12 @@
 		const silentAt = clock.now()
 		while (ends.length === 0 && clock.now() < silentAt + 5_000) await clock.advance(20)
 		expect(ends[0]?.type).to.equal("lost")
-		// The last lease asked for ends 1,000 ms after it was asked; the clock there may run 2% slow.
+		// The last lease ends 1,000 ms after its request, on a clock that may be 2% slow.
 		expect(clock.now() - silentAt).to.be.greaterThan(1_020)
 		expect(clock.now() - silentAt).to.be.lessThan(2_200)
 	})
 
-	it("takes runs as lost at once when another life of the executor answers", async () => {
+	it("reports runs as lost at once when a restarted executor answers", async () => {
 		const {clock, orders, placer, ends, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -93,7 +91,7 @@
 		expect(ends.map(({type}) => type)).to.eql(["lost"])
 	})
 
-	it("stops what runs there and nobody here started, and starts nothing beside it", async () => {
+	it("stops unknown runs on an executor, and starts nothing beside them", async () => {
 		const {clock, orders, placer, submit} = createWorld()
 		orders.running.set("other.0.0.0", 3)
 		placer.setExecutors([record("e1")])
@@ -115,11 +113,11 @@
 		expect(ends.map(({type}) => type)).to.eql(["outnumbered"])
 	})
 
-	it("takes a repeated start that is refused as old for one that was done: its end will be listed", async () => {
+	it("takes a repeated start that is refused as old as carried out, and waits for its end", async () => {
 		const {clock, orders, placer, ends, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
-		// The first start is done and not answered; the run is over when the second arrives.
+		// The first start is carried out but not answered, and its run has ended when the second arrives.
 		orders.startReplies = ["silent but done", {type: "refused", cause: "old", clockMs: clock.now()}]
 		orders.isListingLate = true
 		submit("j.0.0.0")
@@ -131,7 +129,7 @@
 		expect(ends.map(({type}) => type)).to.eql(["done"])
 	})
 
-	it("starts again what a refusal as old says was there, when neither a run nor an end is listed", async () => {
+	it("reports a run as lost that is refused as old when neither a run nor an end is listed", async () => {
 		const {clock, orders, placer, ends, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -144,13 +142,8 @@
 		expect(ends.map(({type}) => type)).to.eql(["lost"])
 	})
 
-	/*
-	 * Two kept jobs were pending for half a minute though their domain had room. Its placer had begun with two executors that a
-	 * task had crashed; their next lives answered in their place before they could take its fence. So it waited for them for
-	 * good, and what its keeper had not accepted itself with it. Settled by `executor_replaced` without `fence_taken` for both,
-	 * no `executor_dropped`, and `home_told` with "fetched" as the last line of both jobs.
-	 */
-	it("does not wait for executors whose next lives answered before they took its fence", async () => {
+	/* Guards against kept jobs that wait forever for executors that crashed before they could take the fence. */
+	it("does not wait for executors that restarted before they took its fence", async () => {
 		const {clock, orders, placer} = createWorld()
 		orders.isReplaced = true
 		placer.setExecutors([record("e1")])
@@ -172,7 +165,7 @@
 		expect(orders.starts).to.have.length(0)
 	})
 
-	it("gives up placing when a higher fence was seen", async () => {
+	it("reports a higher fence seen at an executor", async () => {
 		const {clock, orders, placer, submit, fencedTimes} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -199,7 +192,7 @@
 		expect(orders.starts).to.have.length(2)
 	})
 
-	it("counts what is being stopped until its end is listed, listed as running or not", async () => {
+	it("keeps a stopped run's room reserved until its end is listed", async () => {
 		const {clock, orders, placer, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -214,13 +207,13 @@
 		await clock.advance(10)
 		orders.end("x.0.0.0", "done")
 		await clock.advance(20)
-		// Two of 27 cores fit into 64, and one of them is still being stopped.
+		// Two tasks of 27 cores fit into 64, and one of them is still being stopped.
 		expect(orders.starts.map(({task}) => task[0])).to.eql(["j", "m", "x", "y"])
 		await clock.advance(400)
 		expect(orders.starts).to.have.length(5)
 	})
 
-	it("starts nothing beside an orphan that is being stopped, listed as running or not", async () => {
+	it("starts nothing beside an orphan that is being stopped, until its end is listed", async () => {
 		const {clock, orders, placer, submit} = createWorld()
 		orders.running.set("other.0.0.0", 3)
 		orders.running.set("quick.0.0.0", 3)
@@ -235,7 +228,7 @@
 		expect(orders.starts).to.have.length(2)
 	})
 
-	it("stops a run whose repeated start was refused: the first may still be carried out", async () => {
+	it("stops a run whose repeated start was refused, since the first may still be carried out", async () => {
 		const {clock, orders, placer, ends, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -247,7 +240,7 @@
 		expect(ends.map(({type}) => type)).to.eql(["lost"])
 	})
 
-	it("stops what was never answered once a silent executor is back", async () => {
+	it("stops a run whose start was never answered once a silent executor is back", async () => {
 		const {clock, orders, placer, ends, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -262,7 +255,7 @@
 		expect(orders.stops.at(-1)).to.deep.include({task: "j.0.0.0", run: 1})
 	})
 
-	it("adopts the runs of the placer before, and gives them on in its turn", async () => {
+	it("adopts the runs of the previous placer, and hands them over in turn", async () => {
 		const {clock, orders, placer, ends} = createWorld({orphansWaitMs: 800})
 		orders.running.set("j.0.0.0", 1)
 		placer.setExecutors([record("e1")])
@@ -275,7 +268,7 @@
 		expect(given).to.eql([["j.0.0.0", "e1"]])
 	})
 
-	it("knows the end of an adopted run that came before it was handed over", async () => {
+	it("reports the end of an adopted run that ended before its handover", async () => {
 		const {clock, orders, placer, ends} = createWorld({orphansWaitMs: 800})
 		orders.running.set("j.0.0.0", 1)
 		placer.setExecutors([record("e1")])
@@ -287,7 +280,7 @@
 		expect(ends.map(({type}) => type)).to.eql(["done"])
 	})
 
-	it("never starts an adopted run itself: under the new fence it runs already, or never will", async () => {
+	it("never starts an adopted run itself, since under the new fence it runs already or never will", async () => {
 		const {clock, orders, placer, ends, submit} = createWorld({orphansWaitMs: 800})
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -301,7 +294,7 @@
 		expect(ends.map(({task, type}) => `${task[0]} ${type}`)).to.eql(["j returned"])
 	})
 
-	it("adopts an unanswered run that turns out to be there", async () => {
+	it("adopts a run whose start was not answered but carried out", async () => {
 		const {clock, orders, placer, ends} = createWorld({orphansWaitMs: 800})
 		orders.running.set("j.0.0.0", 1)
 		placer.setExecutors([record("e1")])
@@ -315,7 +308,7 @@
 		expect(ends.map(({type}) => type)).to.eql(["done"])
 	})
 
-	it("stops runs of the placer before that nobody hands over", async () => {
+	it("stops runs of the previous placer that are not handed over", async () => {
 		const {clock, orders, placer} = createWorld({orphansWaitMs: 300})
 		orders.running.set("j.0.0.0", 1)
 		placer.setExecutors([record("e1")])
@@ -325,7 +318,7 @@
 		expect(orders.stops.map(({task}) => task)).to.eql(["j.0.0.0"])
 	})
 
-	it("expects a silent executor back for a moment, and then no more", async () => {
+	it("counts on a silent executor for a moment only", async () => {
 		const {clock, orders, placer} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(500)
@@ -336,7 +329,7 @@
 		expect(placer.expectedWaitMs(Infinity)).to.equal(Infinity)
 	})
 
-	it("gives a foreign task back when no room appears", async () => {
+	it("returns a foreign task when no room appears", async () => {
 		const {clock, placer, ends, submit} = createWorld()
 		placer.setExecutors([])
 		submit("j.0.0.0", {isForeign: true})
@@ -344,7 +337,7 @@
 		expect(ends.map(({type}) => type)).to.eql(["returned"])
 	})
 
-	it("tries a task again elsewhere, and waits rather than go back where it failed", async () => {
+	it("retries a task on another executor, and waits for one rather than return to where it failed", async () => {
 		const {clock, orders, placer, submit} = createWorld()
 		placer.setExecutors([record("e1"), record("e2", {capacity: {...NO_ROOM}})])
 		await clock.advance(10)
@@ -356,7 +349,7 @@
 		expect(orders.starts.map(({executor}) => executor)).to.eql(["e2"])
 	})
 
-	it("goes back where a task failed when there is nothing else", async () => {
+	it("retries a task where it failed when there is no other executor", async () => {
 		const {clock, orders, placer, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -365,7 +358,7 @@
 		expect(orders.starts).to.have.length(1)
 	})
 
-	it("stops a run that makes no progress; that is no attempt of the task", async () => {
+	it("stops a run that makes no progress, and reports it as lost", async () => {
 		const {clock, orders, placer, ends, submit} = createWorld()
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
--- a/packages/jobs/test/placers-at-hand.test.ts
+++ b/packages/jobs/test/placers-at-hand.test.ts
@@ -1,6 +1,4 @@
-/**
- * Which placer a job is handed to while there is none, one that begins, or one that leaves.
- */
+/** The placer that a job is dispatched to while there is none, one that is starting up, one that leaves, or a silent one. */
 import {silentLog, type Heartbeat, type Claim, type Job, type Member} from "@cottonwood/jobs"
 import {
 	createDispatcher,
@@ -76,19 +74,14 @@
 	return {clock, view, asked, quiet, hosted, claimOf, beatOf, dispatch}
 }
 
-describe("placers at hand", () => {
-	/*
-	 * Symptom: 62 jobs of one day refused as `no_capacity` in the 0.3 s after all instances had come back. Sequence: the
-	 * callers' instances listen, the placers claim their domains and hear their executors 0.2 to 0.4 s later.
-	 * Cause: a job without a placer was refused at once, though most kinds can wait that long. Settled by `job_refused` lines
-	 * between `started` and the first `fence_taken`.
-	 */
-	it("are waited for just after a start, as long as the job may be in time", async () => {
+describe("available placers", () => {
+	/* Guards against refusals just after a start, before placers have claimed their domains and reached executors. */
+	it("are waited for just after a start, as long as the job can be in time", async () => {
 		const {clock, hosted, view, claimOf, dispatch} = createWorld()
 		const long = await dispatch(500)
 		const short = await dispatch(50)
 		await clock.advance(150)
-		// Its objective is 140 ms and its work 50: it cannot be in time any more.
+		// With an objective of 140 ms and work of 50 ms it can no longer be in time.
 		expect((await short.end).type).to.equal("refused")
 		expect(short.settledAt()).to.be.within(1_080, 1_110)
 		expect(long.settledAt()).to.equal(undefined)
@@ -98,7 +91,7 @@
 		expect((await long.end).type).to.equal("completed")
 	})
 
-	it("are not waited for when nothing has begun of late", async () => {
+	it("are not waited for later", async () => {
 		const {clock, dispatch} = createWorld()
 		await clock.advance(2_000)
 		const {end, settledAt} = await dispatch(500)
@@ -107,12 +100,8 @@
 		expect(settledAt()).to.be.within(3_000, 3_010)
 	})
 
-	/*
-	 * Symptom: 100 refusals of a cut off domain in 4 s, `no placer can be reached`. Sequence: its placer is stopped while it
-	 * is cut off; nobody can write a claim; it goes on for the grace time, and takes no job from its neighbours.
-	 * Cause: a leaving placer counted as none. Settled by `leaving`, `handover` with `declined`, and the refusals.
-	 */
-	it("include one that leaves, when nobody else is heard", async () => {
+	/* Guards against refusals in a partitioned domain whose placer is stopping and cannot be replaced. */
+	it("include one that leaves, when there is no other", async () => {
 		const {clock, view, claimOf, beatOf, asked, dispatch} = createWorld()
 		view.noteClaim(claimOf(other, 2))
 		await clock.advance(2_000)
@@ -122,12 +111,8 @@
 		expect(asked).to.eql(["a-2:1"])
 	})
 
-	/*
-	 * A placer's machine was gone for good. Its beats had come until then, so for 0.6 s its domain's instances sent it their
-	 * callers' jobs, which may not be tried again: 87 answers of 502 to jobs that had reached no executor. Settled by
-	 * `placer_asked` lines with "given up" for jobs that had come after its last line, from 3.0 to 3.6 s of that day.
-	 */
-	it("do not include one that has calls under way and says nothing", async () => {
+	/* Guards against sending jobs, which may not be retried, to a lost placer until its heartbeats are missed. */
+	it("do not include one with open calls that is silent", async () => {
 		const {view, claimOf, beatOf, asked, quiet, dispatch} = createWorld()
 		const far = {...member("b-1"), failureDomain: "b"}
 		view.noteClaim(claimOf(other, 2))
@@ -145,14 +130,14 @@
 			await dispatch(500)
 		).end
 		expect(asked).to.eql(["a-2:1", "a-2:1", "b-1:1"])
-		// With nobody else in sight it is better than a refusal.
+		// Without another placer it is better than a refusal.
 		view.noteUnreachable(far.session)
 		await (
 			await dispatch(500)
 		).end
 		expect(asked.at(-1)).to.equal("a-2:1")
 		view.applyHeartbeat(beatOf(far, false))
-		// By its own word it is late by so much that this is no sign of anything.
+		// The placer reports so much lag that its silence means nothing.
 		view.applyHeartbeat({...beatOf(other, false), lateMs: 60})
 		await (
 			await dispatch(500)
--- a/packages/jobs/test/selection.test.ts
+++ b/packages/jobs/test/selection.test.ts
@@ -1,6 +1,4 @@
-/**
- * Which executor a task goes to: labels, racks, tasks per executor, speed.
- */
+/** The choice of an executor for a task: labels, racks, tasks per executor, service, packing. */
 import type {ExecutorRecord} from "@cottonwood/jobs"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
@@ -27,20 +25,20 @@
 }
 
 describe("choice of an executor", () => {
-	it("keeps to a label", async () => {
+	it("requires the task's label", async () => {
 		const {place} = await createWorld([record("e1"), record("e2", {labels: ["b"]})])
 		expect(await place("j.0.0.0", {label: "b"})).to.equal("e2")
 		expect(await place("k.0.0.0", {label: "c"})).to.equal(undefined)
 	})
 
-	it("prefers the rack that has the data, and goes elsewhere when it is full", async () => {
+	it("prefers the task's rack, and uses another when it is full", async () => {
 		const {place} = await createWorld([record("e1"), record("e2", {labels: ["r1"]})])
 		expect(await place("j.0.0.0", {rack: "r1"})).to.equal("e2")
 		expect(await place("j.0.0.1", {rack: "r1"})).to.equal("e2")
 		expect(await place("j.0.0.2", {rack: "r1"})).to.equal("e1")
 	})
 
-	it("puts no more of a step's tasks on one executor than it may", async () => {
+	it("respects a step's limit of tasks per executor", async () => {
 		const {place} = await createWorld([record("e1"), record("e2")])
 		const first = await place("j.0.0.0", {maxPerExecutor: 1})
 		const second = await place("j.0.0.1", {maxPerExecutor: 1})
@@ -48,12 +46,12 @@
 		expect(await place("j.0.0.2", {maxPerExecutor: 1})).to.equal(undefined)
 	})
 
-	it("goes only to executors of its service", async () => {
+	it("requires the task's service", async () => {
 		const {place} = await createWorld([record("e1", {service: "other"})])
 		expect(await place("j.0.0.0")).to.equal(undefined)
 	})
 
-	it("packs tightly among equals, so that wide tasks find room", async () => {
+	it("packs tightly among executors of equal speed, so that large tasks find room", async () => {
 		const large = record("e1", {capacity: {cpu: 96_000, memoryMb: 1_000, accelerators: 0}})
 		const {place} = await createWorld([large, record("e2")])
 		expect(await place("j.0.0.0")).to.equal("e2")
--- a/packages/jobs/test/slices.test.ts
+++ b/packages/jobs/test/slices.test.ts
@@ -1,7 +1,4 @@
-/**
- * A failure domain that is divided among several placers: what each slice has, and what becomes of runs when one is added or
- * loses its placer.
- */
+/** Slices of a failure domain: their executors, and what becomes of runs when a slice is added or loses its placer. */
 import {createJobMetrics, silentLog, type Claim, type Member} from "@cottonwood/jobs"
 import {
 	claimKey,
@@ -37,18 +34,15 @@
 }
 
 describe("slices of a failure domain", () => {
-	it("are named so that the first one is the domain itself", () => {
+	it("are named so that the first slice has the domain's name", () => {
 		expect(sliceName("a", 0)).to.equal("a")
 		expect(failureDomainOf(sliceName("a", 3))).to.equal("a")
 		expect(failureDomainOf("a/slice-0"), "no name that we give").to.equal("a/slice-0")
 		expect(fenceFloorOf("a")).to.equal(0)
 	})
 
-	/*
-	 * An executor that goes back to a slice that was there before would come to a placer whose fence is lower than the one
-	 * that it obeys, and be lost to it.
-	 */
-	it("lose executors to a new slice alone, and have about as many each", () => {
+	/* An executor that moved to an older slice would refuse its placer, whose fence is lower. */
+	it("lose executors only to a new slice, and have about as many each", () => {
 		const records = Array.from({length: 750}, (_, at) => record(`10.0.${at % 7}.${at}`))
 		for (let count = 1; count < 8; count++) {
 			const sizes = Array.from({length: count}, () => 0)
@@ -71,7 +65,7 @@
 		expect(ids.sort()).to.eql(records.map(({id}) => id).sort())
 	})
 
-	it("are as many as executors ask for and instances can bear, and never fewer than before", () => {
+	it("are as many as the executors need and the instances allow, and never fewer than before", () => {
 		const domain = {executors: 750, executorsPerPlacer: 150, instances: 100, slices: 1}
 		expect(targetSliceCount(domain)).to.equal(5)
 		expect(targetSliceCount({...domain, instances: 2})).to.equal(2)
@@ -79,8 +73,8 @@
 		expect(targetSliceCount({...domain, executors: 10, slices: 4})).to.equal(4)
 	})
 
-	/* The store's entries may be another writer's; one with a low fence would be the claim that no executor obeys. */
-	it("drop a claim with a fence that is not the slice's own, and one under another key", () => {
+	/* Another writer may have written the store's entries; no executor would obey a claim with a low fence. */
+	it("drop a claim with a fence outside the slice's range, and one under another key", () => {
 		const dropped: Claim[] = []
 		const view = createFleetView(
 			createFakeClock(),
@@ -106,8 +100,7 @@
 		expect(view.claimOf("a/slice-1")?.fence).to.equal(1_000_001)
 	})
 
-	/* Operators name a failure domain; whoever places a part of it must hear that too. */
-	it("are emptied with their domain", () => {
+	it("are evacuated with their domain", () => {
 		const evacuations = createEvacuations({
 			log: silentLog,
 			metrics: createJobMetrics(),
@@ -118,8 +111,8 @@
 		expect(["a", "a/slice-2", "b/slice-2"].map(evacuations.isUnderWay)).to.eql([true, true, false])
 	})
 
-	/* Bytes between domains are dear, and what other domains have to spare their own callers may need. */
-	it("take a task that found no room in another one before other domains do", () => {
+	/* Traffic between domains is expensive, and other domains may need their spare capacity. */
+	it("take a task that found no room in another slice before other domains do", () => {
 		const clock = createFakeClock()
 		const view = createFleetView(clock, () => undefined)
 		const asked: string[] = []
@@ -157,7 +150,7 @@
 		expect(asked).to.eql(["a-2:1", "b-1:1"])
 	})
 
-	it("divide nothing above one that nobody has claimed", () => {
+	it("do not count above an unclaimed slice", () => {
 		const names = ["a", "a/slice-2", "b/slice-1"]
 		const claims = new Map(names.map(name => [name, {failureDomain: name, fence: 1, placer}]))
 		expect(effectiveClaims(claims).map(claim => claim.failureDomain)).to.eql(["a"])
@@ -165,7 +158,7 @@
 })
 
 describe("a divided failure domain", () => {
-	it("with no more executors than one placer may have is not divided", async () => {
+	it("is not divided with no more executors than one placer may have", async () => {
 		const domain = createSlicedDomain({instances: 3, executors: 6, executorsPerPlacer: 6})
 		await domain.clock.advance(4_000)
 		expect([...domain.fake.items.keys()].filter(key => key.includes("claim"))).to.eql([
@@ -175,11 +168,8 @@
 		expect(domain.placed("a-1").length).to.equal(6)
 	})
 
-	/*
-	 * All executors are full when the domain is divided, first in two, then in three. What runs where executors leave is handed
-	 * over, so that every job is answered, no task runs twice, and no executor takes more than it has room for.
-	 */
-	it("grows under load, and no run is lost or doubled", async () => {
+	/* All executors are full while the domain is divided into two and then three slices, so runs are handed over. */
+	it("is divided under load without losing or repeating a run", async () => {
 		const domain = createSlicedDomain({instances: 4, executors: 12, executorsPerPlacer: 4})
 		await domain.clock.advance(150)
 		for (let at = 0; at < 75; at++) {
@@ -201,8 +191,7 @@
 		expect(domain.placers().length).to.equal(3)
 	})
 
-	/* Jobs that come together are not all handed to one slice, whose placer would be the only one with work. */
-	it("has its callers' jobs spread over its slices", async () => {
+	it("spreads its callers' jobs over its slices", async () => {
 		const domain = createSlicedDomain({instances: 4, executors: 12, executorsPerPlacer: 4})
 		await domain.clock.advance(3_000)
 		domain.submit(12)
@@ -214,8 +203,7 @@
 		for (const count of counts) expect(count).to.be.within(2, 6)
 	})
 
-	/* A slice's placer dies with runs under way; the others go on, and the next instance takes the slice over. */
-	it("loses a placer, and the next instance takes its slice", async () => {
+	it("gives the slice of a lost placer with runs to the next instance", async () => {
 		const domain = createSlicedDomain({instances: 4, executors: 12, executorsPerPlacer: 4})
 		await domain.clock.advance(3_000)
 		domain.submit(9)
@@ -234,8 +222,7 @@
 		expect(domain.placed("a-4").length).to.equal(domain.sizeOf(1, 3))
 	})
 
-	/* On a planned stop a slice goes to an instance that places nothing, with all that runs. */
-	it("hands a slice over on a planned stop", async () => {
+	it("hands a slice and its runs over to an instance without a slice on a planned stop", async () => {
 		const domain = createSlicedDomain({instances: 4, executors: 12, executorsPerPlacer: 4})
 		await domain.clock.advance(3_000)
 		domain.submit(12)
@@ -250,10 +237,10 @@
 	})
 
 	/*
-	 * A slice's placer hears neither the store nor its peers when its executors go to a new slice: they refuse its fence. It
-	 * goes on with the others, and what ran on those that left is told as lost once it is certainly over.
+	 * A slice's placer reaches neither the store nor its peers while executors move to a new slice and refuse its fence. It goes on
+	 * with its other executors, and reports the runs on those that moved as lost once they have certainly ended.
 	 */
-	it("keeps a placer that is cut off while another slice is added", async () => {
+	it("keeps a partitioned placer while another slice is added", async () => {
 		const domain = createSlicedDomain({instances: 3, executors: 12, executorsPerPlacer: 6})
 		await domain.clock.advance(1_500)
 		const [, second] = domain.placers() as [string, string]
@@ -268,7 +255,7 @@
 		third.hosts.expectHandover({failureDomain: "a/slice-2", fence: fence + 1}, [])
 		await Promise.all([third.claims.claimNow("a/slice-2", fence), domain.clock.advance(50)])
 		await domain.clock.advance(300)
-		// The list comes again, as it does all the time.
+		// The platform's list is read again periodically.
 		hosts.setExecutors(domain.records)
 		await domain.clock.advance(100)
 		expect(hosts.of("a/slice-1")).to.not.equal(undefined)
@@ -287,20 +274,20 @@
 		expect(later).to.eql(Array(12).fill("completed"))
 	})
 
-	/* A placer that is silent cannot hand over what runs where executors leave it; the next slice waits for its successor. */
+	/* A silent placer cannot hand over the runs on executors that move, so the next slice waits for its successor. */
 	it("is not divided further while a slice's placer is silent", async () => {
 		const domain = createSlicedDomain({instances: 4, executors: 8, executorsPerPlacer: 4})
 		const {clock} = domain
 		await clock.advance(3_000)
 		domain.kill(domain.placers()[1] as string)
-		// Until its beats are missed it counts as heard.
+		// The placer counts as alive until its heartbeats are missed.
 		await clock.advance(700)
 		domain.addExecutors(4)
 		for (let ms = 0; ms < 4_000 && domain.placers().length < 3; ms += 10) await clock.advance(10)
 		expect(domain.fenceOf("a/slice-1")).to.equal(fenceFloorOf("a/slice-1") + 2)
 	})
 
-	it("is placed whole by the one instance that is left of two", async () => {
+	it("is placed entirely by the one instance that is left of two", async () => {
 		const domain = createSlicedDomain({instances: 2, executors: 12, executorsPerPlacer: 4})
 		await domain.clock.advance(3_000)
 		expect(domain.placers().length, "no more slices than instances").to.equal(2)
@@ -310,7 +297,7 @@
 		expect(domain.placers()).to.eql([second, second])
 		domain.submit(12)
 		await domain.clock.advance(2_000)
-		// One that comes is given the slice that is one too many.
+		// A new instance gets the second slice.
 		domain.addInstance("a-3")
 		domain.submit(12)
 		await domain.clock.advance(4_000)
@@ -319,8 +306,7 @@
 		expect(domain.faults).to.eql([])
 	})
 
-	/* What it was handed is lost; the slice itself is one without a placer, as any other may be. */
-	it("loses a new slice's placer just after that has written its claim", async () => {
+	it("recovers from the loss of a new slice's placer just after it has written its claim", async () => {
 		const domain = createSlicedDomain({instances: 4, executors: 12, executorsPerPlacer: 6})
 		domain.submit(9)
 		while (domain.placers().length < 2) await domain.clock.advance(5)
@@ -334,8 +320,8 @@
 		expect(domain.faults).to.eql([])
 	})
 
-	/* Whoever asked hears of the claim by the store, and hands over then. */
-	it("grows though the answers to its placer are lost", async () => {
+	/* The instance that asked learns of the claim from the store, and hands over then. */
+	it("is divided although the answers to its placer are lost", async () => {
 		const domain = createSlicedDomain({instances: 4, executors: 12, executorsPerPlacer: 4})
 		domain.at("a-1").is.deaf = true
 		await domain.clock.advance(5_000)
@@ -344,7 +330,7 @@
 		expect(placed.sort()).to.eql(domain.records.map(({id}) => id).sort())
 	})
 
-	it("does not grow while the store is away, and does once it is back", async () => {
+	it("is not divided while the store is unavailable, and is once it is back", async () => {
 		const domain = createSlicedDomain({instances: 4, executors: 12, executorsPerPlacer: 4})
 		await domain.clock.advance(200)
 		const all = ["a-1", "a-2", "a-3", "a-4"].map(name => domain.at(name).is)
@@ -358,7 +344,7 @@
 		expect(domain.placers().length).to.equal(3)
 	})
 
-	/* The claims have outlasted the loss, and each instance knows its own by its name: nobody waits for anybody. */
+	/* The claims outlast the loss, and each instance recognises its own by its name. */
 	it("is divided as before within half a second after a loss of all instances", async () => {
 		const domain = createSlicedDomain({instances: 4, executors: 12, executorsPerPlacer: 4})
 		await domain.clock.advance(3_000)
@@ -377,8 +363,8 @@
 		expect(later).to.eql(Array(12).fill("completed"))
 	})
 
-	/* Its home is the slice that took the job; the new placer stops what it does not know, and nobody renews the lease. */
-	it("tells a kept job's run as lost once it is over where an executor goes", async () => {
+	/* The run of a kept job is not handed over: the new placer stops it, and no placer renews its lease. */
+	it("reports a kept job's run on a moved executor as lost once it has certainly ended", async () => {
 		const clock = createFakeClock()
 		const view = createFleetView(clock, () => undefined)
 		const common = {clock, view, self: placer, log: silentLog, metrics: createJobMetrics()}
@@ -411,7 +397,7 @@
 		expect(ends).to.eql(["lost"])
 	})
 
-	it("starts nothing in any slice while it is emptied", async () => {
+	it("starts nothing in any slice while it is evacuated", async () => {
 		const domain = createSlicedDomain({instances: 4, executors: 12, executorsPerPlacer: 4})
 		await domain.clock.advance(3_000)
 		domain.evacuate(true)
@@ -425,7 +411,7 @@
 		expect(domain.runningCount()).to.equal(9)
 	})
 
-	it("is not divided by an instance that is asked for a slice with a gap before it", async () => {
+	it("is not divided by a request for a slice above a gap", async () => {
 		const domain = createSlicedDomain({instances: 2, executors: 4})
 		await domain.clock.advance(1_000)
 		const asked = domain.at("a-2").claims.claimNow("a/slice-3", fenceFloorOf("a/slice-3"))
@@ -435,8 +421,8 @@
 })
 
 describe("the list of executors", () => {
-	/* 750 entries are renewed each second or so, at every placer of every slice; each check costs as much as a hold. */
-	it("checks an entry again only when it says something else", async () => {
+	/* Hundreds of entries are renewed each second at every placer, and decoding is expensive. */
+	it("decodes an entry again only when it has changed", async () => {
 		const clock = createFakeClock()
 		const {fake, store} = createFakeStore()
 		const told: (readonly string[])[] = []
--- a/packages/jobs/test/speed-keeping.test.ts
+++ b/packages/jobs/test/speed-keeping.test.ts
@@ -1,6 +1,4 @@
-/**
- * Speeds as state of the fleet: what is written to the store, who reads it when, and what a bad record does.
- */
+/** Speeds stored for successors: the record, when it is written and read, and invalid records. */
 import {createJobMetrics, silentLog, type Claim} from "@cottonwood/jobs"
 import {
 	createSpeedStores,
@@ -19,7 +17,7 @@
 const placer = {name: "a-1", session: "s1", failureDomain: "a", address: "a-1:1", cpuShare: 1}
 const claimOf = (fence: number): Claim => ({failureDomain: "a", fence, placer})
 
-/** An instance: what it knows is lost with it. */
+/** An instance with no state but the store. */
 function createKeeping(clock: FakeClock, store: ReturnType<typeof createFakeStore>["store"]) {
 	const metrics = createJobMetrics()
 	return {metrics, keeping: createSpeedStores({clock, store, log: silentLog, metrics})}
@@ -37,7 +35,7 @@
 	outliers: 0,
 })
 
-/** Names of the platform's form. */
+/** Executor ids in the platform's format. */
 const idOf = (at: number) => `i-${at.toString(16).padStart(10, "0")}`
 
 function fleetOf(size: number): KnownSpeeds {
@@ -57,18 +55,18 @@
 }
 
 describe("the record of speeds", () => {
-	it("is small, also of a large domain", () => {
+	it("is small even for a large domain", () => {
 		expect(JSON.stringify(encodeSpeeds(fleetOf(120), 4)).length).to.be.lessThan(4_000)
 		expect(JSON.stringify(encodeSpeeds(fleetOf(700), 4)).length).to.be.lessThan(17_000)
 	})
 
-	it("lies apart from what all instances follow", () => {
-		// Each change of a followed key is an answer at every instance, and a call that follows it.
+	it("is stored outside the prefix that all instances follow", () => {
+		// Each change of a followed key costs an answer and a call at every instance.
 		expect(speedKey("a").startsWith(FLEET_PREFIX)).to.equal(false)
 		expect(speedKey("a").startsWith(SPEED_PREFIX)).to.equal(true)
 	})
 
-	it("tells what was known, in steps finer than anybody is sure of", () => {
+	it("has sufficient precision", () => {
 		const known = {executors: new Map([["e", speed(1.6)]]), labels: new Map([["a", speed(0.7)]])}
 		const {executors, labels, dropped} = decodeSpeeds(
 			JSON.parse(JSON.stringify(encodeSpeeds(known, 1))),
@@ -78,7 +76,7 @@
 		expect(dropped).to.equal(0)
 	})
 
-	it("of another writer is dropped entry by entry", () => {
+	it("drops invalid entries one by one", () => {
 		const bad: readonly unknown[] = [
 			null,
 			"x",
@@ -106,16 +104,15 @@
 			expect(decodeSpeeds(value).executors.size).to.equal(0)
 	})
 
-	it("with more entries than any domain has costs no more than a large one", () => {
+	it("bounds the number of decoded entries", () => {
 		const executors: Record<string, unknown> = {}
 		for (let at = 0; at < 5_000; at++) executors[idOf(at)] = [1, 5]
 		expect(decodeSpeeds({executors, labels: {}}).executors.size).to.equal(2_000)
 	})
 })
 
-describe("keeping speeds", () => {
-	it("lets a successor begin with what its predecessor knew", async () => {
-		// A placer has learnt two speeds; another instance takes the domain over.
+describe("stored speeds", () => {
+	it("let a successor begin with its predecessor's speeds", async () => {
 		const {clock, begin} = createWorld()
 		const first = begin().keeping.open(claimOf(1))
 		await clock.advance(10)
@@ -128,13 +125,12 @@
 		await clock.advance(10)
 		expect(second.speeds.expectedSlowness("fast")).to.be.lessThan(0.75)
 		expect(second.speeds.expectedSlowness("slow")).to.be.greaterThan(1.4)
-		// After twenty runs what it sees itself counts for more than what it was told.
+		// After twenty runs its own runs outweigh the inherited speed.
 		for (let run = 0; run < 20; run++) second.speeds.observe("fast", 1.5)
 		expect(second.speeds.expectedSlowness("fast")).to.be.greaterThan(Math.sqrt(0.6 * 1.5))
 	})
 
-	it("has speeds after a loss of all instances as soon as the store answers once", async () => {
-		// All instances lose power at once, half a second after the last write; only the store is left.
+	it("are available after a loss of all instances as soon as the store answers", async () => {
 		const {clock, begin} = createWorld()
 		const before = begin().keeping.open(claimOf(1))
 		await clock.advance(10)
@@ -146,12 +142,12 @@
 		await clock.advance(1)
 		after.speeds.add({id: "slow", labels: ["a"]})
 		expect(after.speeds.expectedSlowness("slow")).to.be.greaterThan(1.4)
-		// A new life of an executor begins from its label.
+		// A new executor begins with its label's speed.
 		after.speeds.add({id: "new", labels: ["a"]})
 		expect(after.speeds.expectedSlowness("new")).to.not.equal(after.speeds.expectedSlowness("slow"))
 	})
 
-	it("places on while the store is away, asks again, and joins what it learnt meanwhile", async () => {
+	it("are read once the store is available, and merged with those learnt meanwhile", async () => {
 		const {clock, fake, begin} = createWorld()
 		fake.write(speedKey("a"), {fence: 1, executors: {slow: [9, 9], fast: [-10, 9]}, labels: {}})
 		fake.isAway = true
@@ -159,7 +155,7 @@
 		await clock.advance(3_000)
 		learn(keeper, 1)
 		await clock.advance(3_000)
-		// Nothing is written before it is known what is there: what others have learnt would be lost.
+		// Nothing is written before the record was read, since that would overwrite it.
 		expect(fake.puts).to.equal(0)
 		fake.isAway = false
 		await clock.advance(500)
@@ -167,7 +163,7 @@
 		expect(keeper.speeds.expectedSlowness("fast")).to.be.lessThan(0.75)
 	})
 
-	it("writes when there is something to tell, and tells it again when the store did not take it", async () => {
+	it("are written when they change, and again when a write fails", async () => {
 		const {clock, fake, begin} = createWorld()
 		const keeper = begin().keeping.open(claimOf(1))
 		await clock.advance(5_000)
@@ -179,7 +175,7 @@
 		fake.isAway = false
 		await clock.advance(10_000)
 		expect(fake.puts, "told once").to.equal(3)
-		// Noise is no news; a slowdown is.
+		// Noise causes no write; a slowdown does.
 		keeper.speeds.observe("slow", 1.4)
 		await clock.advance(4_000)
 		expect(fake.puts).to.equal(3)
@@ -192,8 +188,8 @@
 		expect(fake.puts, "somebody else places now").to.equal(4)
 	})
 
-	it("tells on what it was told of executors that it has not met yet", async () => {
-		// The list comes in late, or in part: a placer that is lost meanwhile must not take the others' speeds with it.
+	it("include inherited speeds of executors that have not appeared yet", async () => {
+		// The list may be late or incomplete, and a placer lost meanwhile must not lose the others' speeds.
 		const {clock, fake, begin} = createWorld()
 		fake.write(speedKey("a"), {fence: 1, executors: {late: [9, 9]}, labels: {}})
 		const keeper = begin().keeping.open(claimOf(2))
@@ -204,7 +200,7 @@
 		expect([...executors.keys()].sort()).to.eql(["fast", "late", "slow"])
 	})
 
-	it("counts what a record holds that is no speed, or is of no executor here, and goes on", async () => {
+	it("are counted where invalid or of unknown executors, and the others are used", async () => {
 		const {clock, fake, begin} = createWorld()
 		fake.write(speedKey("a"), {executors: {slow: [9, 9], gone: [9, 9], bad: ["x", 1]}, labels: 7})
 		const {metrics, keeping} = begin()
--- a/packages/jobs/test/speeds-taken-over.test.ts
+++ b/packages/jobs/test/speeds-taken-over.test.ts
@@ -1,6 +1,4 @@
-/**
- * Where the first task goes once somebody else places a failure domain: by the speeds that the placer before has learnt.
- */
+/** The use of speeds that a previous placer learnt: choice of executors, stuck runs and health. */
 import {createJobMetrics, silentLog, type Claim} from "@cottonwood/jobs"
 import {
 	createHostedPlacers,
@@ -19,7 +17,7 @@
 const ignore = () => undefined
 const EXECUTORS = [record("e1"), record("e2"), record("e3")]
 
-/** One life of an instance. */
+/** An instance from its start to its end. */
 function createLife(
 	session: string,
 	clock: FakeClock,
@@ -55,9 +53,9 @@
 	return {hosts, orders, claimOf, place}
 }
 
-describe("speeds that are taken over", () => {
-	it("decide where the first task goes after all instances have lost power", async () => {
-		// The only instance learns that e2 is the fast one, loses power, and comes back with nothing but the store.
+describe("inherited speeds", () => {
+	it("decide where the first task goes after a loss of all instances", async () => {
+		// The only instance learns that e2 is fast, and is replaced by one with no state but the store.
 		const clock = createFakeClock()
 		const {store} = createFakeStore()
 		const before = createLife("s1", clock, store)
@@ -80,8 +78,7 @@
 		expect(await after.place("j.0.0.0")).to.equal("e2")
 	})
 
-	it("are written no more by a placer that has lost its domain", async () => {
-		// Another claim is known here; what this instance goes on to learn is no news any more.
+	it("are not written by a placer that has lost its domain", async () => {
 		const clock = createFakeClock()
 		const {fake, store} = createFakeStore()
 		const {hosts, claimOf} = createLife("s1", clock, store)
@@ -95,7 +92,7 @@
 		expect(fake.puts).to.equal(0)
 	})
 
-	it("do not keep anybody from placing when the record is another writer's", async () => {
+	it("do not prevent placing when the record is invalid", async () => {
 		const clock = createFakeClock()
 		const {fake, store} = createFakeStore()
 		fake.write(speedKey("a"), "no record at all")
@@ -105,7 +102,7 @@
 		expect(await place("j.0.0.0")).to.be.oneOf(["e1", "e2", "e3"])
 	})
 
-	it("do not keep anybody from placing while the store says nothing", async () => {
+	it("do not prevent placing while the store does not answer", async () => {
 		const clock = createFakeClock()
 		const {store} = createFakeStore()
 		const silent = {...store, get: () => new Promise<undefined>(ignore)}
@@ -117,7 +114,7 @@
 })
 
 describe("runs on executors whose speed is known", () => {
-	/** After how long without progress a run of 4,000 ms is stopped on an executor. */
+	/** How long a run of 4,000 ms goes on without progress before it is stopped. */
 	async function stuckAfterMs(slowness: number): Promise<number> {
 		const clock = createFakeClock()
 		const orders = new FakeExecutors(clock)
@@ -135,8 +132,8 @@
 		return clock.now() - startedAt
 	}
 
-	it("count as stuck by the time that they take there", async () => {
-		// No progress is told for longer than 0.6 of what the run takes on this executor.
+	it("count as stuck by their expected time there", async () => {
+		// The limit is 0.6 of the expected time on the executor without progress.
 		const [fast, plain, slow] = [
 			await stuckAfterMs(0.6),
 			await stuckAfterMs(1),
@@ -147,9 +144,8 @@
 		expect(slow).to.be.within(4_800, 5_400)
 	})
 
-	it("do not have a slow executor set aside for one tail", async () => {
-		// An executor takes twice as long as estimated, which is known; then one task takes seven times as long as that. Smoothed as
-		// it is, that would pass for three times its estimates, from where an executor gets probes only.
+	it("do not set a slow executor aside for one outlier", async () => {
+		// The executor is known to take twice its estimates; then one task takes seven times as long as that.
 		const clock = createFakeClock()
 		const orders = new FakeFleet(clock)
 		const speeds = createPersistentSpeeds(() => clock.now())
--- a/packages/jobs/test/speeds.test.ts
+++ b/packages/jobs/test/speeds.test.ts
@@ -1,6 +1,4 @@
-/**
- * What is learnt of executors' speeds from runs whose estimates are off by 40% a job, of which 3% take seven times as long.
- */
+/** Learning executors' speeds from noisy runs: estimates are off by 40%, and 3% of the runs take seven times as long. */
 import {seededRandom} from "@cottonwood/standins"
 import {expect} from "chai"
 import {
@@ -18,7 +16,7 @@
 const TAIL_SHARE = 0.03
 const TAIL_TIMES = 7
 
-/** Run times over estimates on an executor that takes `slowness` times as long as meant. */
+/** Draws run times over estimates on an executor with the given slowness. */
 function drawRuns(seed: number, slowness: () => number): () => number {
 	const random = seededRandom(seed)
 	return () => {
@@ -33,9 +31,8 @@
 	return speed
 }
 
-describe("what is learnt of speeds", () => {
+describe("learnt speed", () => {
 	it("is within a fifth of the truth after twenty noisy runs for most executors, and stays there", () => {
-		// Forty executors of each speed. One run says little; the mean of many does, and tails do not shift it.
 		for (const truth of [0.6, 1, 1.6]) {
 			for (const count of [20, 100, 300]) {
 				const errors = Array.from({length: 40}, (_, seed) =>
@@ -56,23 +53,23 @@
 		}
 	})
 
-	it("is shrunk towards an ordinary speed while few runs are known", () => {
+	it("is shrunk towards an ordinary speed after few runs", () => {
 		const one = learnRun(undefined, 0, 2)
 		expect(slownessOf(one)).to.be.closeTo(Math.sqrt(2), 1e-9)
 		expect(slownessOf(learnMany(20, () => 2))).to.be.within(1.85, 2)
 		expect(slownessOf()).to.equal(1)
 	})
 
-	it("is not moved by a tail, nor is an executor's health judged by it", () => {
+	it("is hardly changed by an outlier, nor is the executor's health", () => {
 		const known = learnMany(20, () => 1.6)
 		const before = slownessOf(known)
 		const after = learnRun(known, 0, 1.6 * TAIL_TIMES)
 		expect(slownessOf(after) / before).to.be.lessThan(1.06)
-		// Smoothed by an eighth, one raw tail on an executor of this speed would pass for a standstill: over three times its estimates.
+		// A raw outlier would set the executor aside, since health is smoothed by an eighth.
 		expect(capOutlier(1.6 * TAIL_TIMES, before, known)).to.be.lessThan(4)
 	})
 
-	it("follows an executor that turns slow by five within ten runs, and back", () => {
+	it("follows an executor that turns five times slower within ten runs, and back", () => {
 		let isSlow = false
 		const followed = [0, 0]
 		for (let seed = 0; seed < 20; seed++) {
@@ -87,13 +84,13 @@
 			if (slownessOf(back) < 1.7) followed[1]!++
 		}
 		expect(Math.min(...followed)).to.be.at.least(17)
-		// A step that is always the same is slow to believe it, or noisy for ever.
+		// Smoothed speeds have no estimate to plan by.
 		const learnt = createSmoothedSpeeds()
 		for (let run = 0; run < 10; run++) learnt.observe("e", 5)
 		expect(learnt.expectedSlowness("e")).to.equal(1)
 	})
 
-	it("of a label tells of executors with it that have run nothing", () => {
+	it("of a label applies to its executors without runs", () => {
 		const speeds = createPersistentSpeeds(() => 0)
 		for (let at = 0; at < 12; at++) {
 			speeds.add({id: `b${at}`, labels: ["b", `r${at}`]})
@@ -103,12 +100,11 @@
 		speeds.add({id: "new-a", labels: ["a", "r1"]})
 		expect(speeds.expectedSlowness("new-b")).to.be.within(1.45, 1.6)
 		expect(speeds.expectedSlowness("new-a")).to.equal(1)
-		// Its own runs soon count for more.
 		for (let run = 0; run < 12; run++) speeds.observe("new-b", 0.6)
 		expect(speeds.expectedSlowness("new-b")).to.be.lessThan(0.75)
 	})
 
-	it("of one life of an executor ends with it", () => {
+	it("is dropped with its executor", () => {
 		const speeds = createPersistentSpeeds(() => 0)
 		speeds.add({id: "e1", labels: ["a"]})
 		for (let run = 0; run < 20; run++) speeds.observe("e1", 3)
@@ -118,7 +114,7 @@
 		expect(speeds.expectedSlowness("e2")).to.equal(1)
 	})
 
-	it("by two placers is joined by what each rests on", () => {
+	it("of two placers is merged by the weight of each", () => {
 		const before = {mean: Math.log(2), weight: 9, outliers: 0}
 		const now = {mean: Math.log(1), weight: 1, outliers: 0}
 		expect(Math.exp(mergeSpeeds(before, now).mean)).to.be.within(1.8, 1.9)
@@ -126,8 +122,7 @@
 		expect(priorLog()).to.equal(0)
 	})
 
-	it("by a placer for itself is smoothed as ever", () => {
-		// Kept to the digit where nothing else is switched on: a step of 0.15 from 1 on, runs cut at 4.
+	it("is smoothed exponentially by default", () => {
 		const speeds = createSmoothedSpeeds()
 		const any = {} as Parameters<typeof speeds.costOf>[1]
 		expect(speeds.costOf("e", any)).to.equal(1)
--- a/packages/jobs/test/succession.test.ts
+++ b/packages/jobs/test/succession.test.ts
@@ -1,15 +1,6 @@
 /**
- * Runs that go from one placer of a failure domain to the next: none is told as ended while it runs.
- *
- * Symptom: a task ran twice at the same time, 0.8 s long. Run 1 was started in one domain under a placer of
- * another domain; run 2 of the same job began elsewhere 1.5 s later; run 1 was stopped 0.8 s after that.
- * Sequence: the domain's only instance died and came back, the foreign placer handed the domain back to it, and the
- * executor left the successor's first order unanswered, as it left many in that minute.
- * Cause: a successor that knows nothing of a run took that as proof of its end. Without a reading of the executor's
- * clock and without a lease of its own, "all leases that were asked for are over" held at once.
- * Settled by: the figures of the record (`run 2`, so the job was told `lost`; run 1 ended `stopped` 0.8 s after
- * the news, the time that a successor leaves unknown runs alone), and by the first case below: `run_ended` with
- * `outcome=lost`, `cause=its lease ended while silent` 110 ms after `run_adopted` with no `inputAgeMs`.
+ * Handover of runs from one placer of a failure domain to the next. Guards against a successor that reports a run as lost while
+ * it still runs, so that its task runs twice.
  */
 import type {EventLog, LogFields} from "@cottonwood/jobs"
 import {fieldsOf, type PlacerDeps, type TaskEnd} from "@cottonwood/jobs/internals"
@@ -43,7 +34,7 @@
 		return createTestPlacer({clock, orders: executor, fence, ...extra})
 	}
 
-	/** A placer with a run of the task under way. */
+	/** A placer with a run of the task. */
 	async function placeFirst() {
 		const first = place(7)
 		first.setExecutors([record("e1")])
@@ -54,7 +45,7 @@
 		return first
 	}
 
-	/** Its successor, which gets the run; `listed` is what it knows of executors by itself. */
+	/** Hands the run over to a successor, whose executor list is `listed`. */
 	async function handOver(listed: readonly string[]) {
 		const first = await placeFirst()
 		const successor = place(8, {orphansWaitMs: HANDOVER_WAIT_MS, log})
@@ -92,7 +83,7 @@
 		expect(ends.map(({type}) => type)).to.eql(["done"])
 	})
 
-	it("ends a run that nobody hands over although its first stop is lost", async () => {
+	it("stops a run that is not handed over although the first stop is lost", async () => {
 		const {clock, executor, placeFirst, place} = createWorld()
 		const first = await placeFirst()
 		first.close()
@@ -104,7 +95,7 @@
 		expect([...executor.running.keys()]).to.eql([])
 	})
 
-	it("lets a run that is never handed over end with the lease that it has", async () => {
+	it("lets a run that is never handed over end with its current lease", async () => {
 		const {clock, executor, placeFirst, place} = createWorld()
 		const first = await placeFirst()
 		first.close()
@@ -114,7 +105,7 @@
 		expect([...executor.running.keys()]).to.eql([])
 	})
 
-	it("tells a run as lost only once the last lease that anyone asked for is over", async () => {
+	it("reports a run as lost only once the last lease that any placer requested has ended", async () => {
 		const {clock, executor, ends, handOver} = createWorld()
 		executor.isLost = ({fence}) => fence === 8
 		await handOver(["e1"])
@@ -124,7 +115,7 @@
 		])
 	})
 
-	it("repeats no start after it stood still: its task may run elsewhere by now", async () => {
+	it("repeats no start after a stall, since the task may run elsewhere by now", async () => {
 		const {clock, executor, place} = createWorld()
 		const placer = place(7)
 		placer.setExecutors([record("e1")])
@@ -142,7 +133,7 @@
 		expect(executor.started).to.eql([])
 	})
 
-	it("reads its news before it starts what waited while it stood still", async () => {
+	it("reads its messages before it starts tasks that waited during a stall", async () => {
 		const {clock, executor, place} = createWorld()
 		const placer = place(7)
 		placer.setExecutors([record("e1")])
@@ -159,7 +150,7 @@
 		expect(executor.started).to.eql([])
 	})
 
-	it("places on while each turn of the loop takes longer than a standstill", async () => {
+	it("goes on placing while each turn of the event loop takes longer than a stall", async () => {
 		const {clock, executor, place} = createWorld()
 		const placer = place(7)
 		placer.setExecutors([record("e1")])
@@ -169,7 +160,7 @@
 			() => undefined,
 			() => undefined,
 		)
-		// The walk is due before the beat that would tell that the loop has gone round.
+		// The pass is due before the tick that would show that the event loop has completed a turn.
 		clock.freeze(450)
 		await clock.advance(0)
 		clock.freeze(450)
@@ -177,7 +168,7 @@
 		expect(executor.started).to.eql([TASK])
 	})
 
-	it("says what was known of a run that it took over", async () => {
+	it("logs what was known of an adopted run", async () => {
 		const {clock, executor, lines, handOver} = createWorld()
 		executor.isLost = ({fence}) => fence === 8
 		await handOver(["e1"])
--- a/packages/jobs/test/support/placers.ts
+++ b/packages/jobs/test/support/placers.ts
@@ -1,4 +1,4 @@
-/** Placers for tests; what a test does not name is as for a domain without a placer before. */
+/** Placers for tests; the defaults are those of a domain without a previous placer. */
 import {createJobMetrics, silentLog} from "@cottonwood/jobs"
 import {createPlacer, type Placer, type PlacerDeps} from "@cottonwood/jobs/internals"
 import {LEASE_RULE, NO_ADVISOR, NO_KEPT_RUNS} from "./requests.js"
--- a/packages/jobs/test/task-queue.test.ts
+++ b/packages/jobs/test/task-queue.test.ts
@@ -1,6 +1,4 @@
-/**
- * The order in which waiting tasks start.
- */
+/** The order in which waiting tasks start, and the queue's counts of work. */
 import {createTaskQueue, type TaskRequest, type WaitingTask} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {taskRequest} from "./support/requests.js"
@@ -17,12 +15,12 @@
 }
 
 describe("task queue", () => {
-	it("goes by the latest useful start", () => {
+	it("orders tasks by their latest useful start", () => {
 		const items = [waiting("late.0", {startBy: 900}), waiting("soon.0", {startBy: 300})]
 		expect(order(items, 0)).to.eql(["soon", "late"])
 	})
 
-	it("puts what can be in time before what is late, and begun work before both", () => {
+	it("puts tasks in time before late ones, and tasks of begun jobs before both", () => {
 		const items = [
 			waiting("late.0", {startBy: 100}),
 			waiting("intime.0", {startBy: 900}),
@@ -31,7 +29,7 @@
 		expect(order(items, 500)).to.eql(["begun", "intime", "late"])
 	})
 
-	it("puts last what is of no use any more, begun or not", () => {
+	it("puts useless tasks last, even of begun jobs", () => {
 		const items = [
 			waiting("useless.0", {startBy: 50, uselessAt: 400, isBegun: true}),
 			waiting("late.0", {startBy: 100}),
@@ -39,7 +37,7 @@
 		expect(order(items, 500)).to.eql(["late", "useless"])
 	})
 
-	it("counts the work that goes before a start, and what waits in all", () => {
+	it("counts the work ahead of a start, and all waiting work", () => {
 		const queue = createTaskQueue()
 		queue.push(waiting("a.0", {startBy: 300}))
 		queue.push(waiting("b.0", {startBy: 900}))
@@ -48,7 +46,7 @@
 		expect(queue.work()).to.equal(5_400)
 	})
 
-	it("forgets what was taken or removed", () => {
+	it("no longer counts removed tasks", () => {
 		const queue = createTaskQueue()
 		const item = waiting("a.0")
 		queue.push(item)
--- a/packages/jobs/test/tickets.test.ts
+++ b/packages/jobs/test/tickets.test.ts
@@ -1,6 +1,4 @@
-/**
- * Queues with advice: a step runs only on executors with a ticket, and is asked for sparingly.
- */
+/** Queues with advice: a step runs only on executors with a ticket, and the advisor gets few calls. */
 import type {AdviceReply, Advisor} from "@cottonwood/jobs"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
@@ -51,7 +49,7 @@
 })
 
 describe("tickets", () => {
-	it("starts a step only where it has a ticket, with the ticket, and asks once for all its tasks", async () => {
+	it("start a step only where it has a ticket, and are requested once for all its tasks", async () => {
 		const {clock, orders, calls, submit} = await createWorld(() => allow({e2: "t2"}))
 		for (let at = 0; at < 3; at++) submit(`j.0.0.${at}`)
 		await clock.advance(10)
@@ -67,7 +65,7 @@
 		expect(orders.starts).to.have.length(3)
 	})
 
-	it("makes one call at a time", async () => {
+	it("are requested in one call at a time", async () => {
 		const {clock, submit, calls, mostUnderWay} = await createWorld(() => allow({e1: "t"}))
 		for (const job of ["j", "k", "l"]) submit(`${job}.0.0.0`)
 		await clock.advance(400)
@@ -75,7 +73,7 @@
 		expect(mostUnderWay()).to.equal(1)
 	})
 
-	it("asks again when the tickets have run out", async () => {
+	it("are requested again when they have expired", async () => {
 		const {clock, orders, submit, calls} = await createWorld(() => allow({e1: "t"}, 500))
 		submit("j.0.0.0")
 		await clock.advance(100)
@@ -91,7 +89,7 @@
 		expect(orders.starts).to.have.length(3)
 	})
 
-	it("tries again after a call without an answer, and never starts without a ticket", async () => {
+	it("are requested again after a call without an answer, and no task starts without one", async () => {
 		const replies: AdviceReply[] = [{type: "busy"}, {type: "silent", cause: ""}]
 		const {clock, orders, submit} = await createWorld(() => replies.shift() ?? allow({e3: "t"}))
 		submit("j.0.0.0")
--- a/packages/jobs/test/uneven-executors.test.ts
+++ b/packages/jobs/test/uneven-executors.test.ts
@@ -1,6 +1,4 @@
-/**
- * Executors of three speeds: where a placer sends what, what it makes of its room, and what it is worth to know them from the start.
- */
+/** Executors of different speeds: where a placer sends tasks, how it counts its capacity, and the gain from known speeds. */
 import {
 	createPersistentSpeeds,
 	speedCost,
@@ -23,7 +21,7 @@
 	speeds.merge({executors, labels: new Map()})
 }
 
-/** A placer whose executors' speeds a predecessor has learnt. */
+/** A placer with inherited speeds. */
 async function createWorld(
 	slowness: Readonly<Record<string, number>>,
 	capacity: ExecutorRecord["capacity"] = {cpu: 32_000, memoryMb: 1_000, accelerators: 0},
@@ -50,9 +48,8 @@
 }
 
 describe("uneven executors", () => {
-	it("get urgent work at the fast ones, and work with time to spare where it does no harm", async () => {
-		// The first task has 160 ms for its 100 and ends in time on the fast executor alone. The second has time for any of them,
-		// so it goes where it fills up an executor that runs something already.
+	it("run urgent tasks on the fast ones, and tasks with time to spare on the slow ones", async () => {
+		// The first task is in time on the fast executor only. The second is in time on any, so the fast one stays free.
 		const {place} = await createWorld({slow: 1.6, fast: 0.6, plain: 1})
 		expect(await place("j.0.0.0", {estimateMs: 100, startBy: 60})).to.equal("fast")
 		const {place: placeIdle, speeds} = await createWorld({slow: 1.6, fast: 0.6})
@@ -61,14 +58,14 @@
 		expect(await placeIdle("l.0.0.0", {estimateMs: 100, startBy: 40})).to.equal("fast")
 	})
 
-	it("are chosen by speed where nothing would be in time", async () => {
+	it("are chosen by speed where a task would be late on all", async () => {
 		const {place} = await createWorld({slow: 1.6, fast: 0.6})
 		expect(await place("j.0.0.0", {estimateMs: 100, startBy: -300})).to.equal("fast")
 		const {place: placeLater} = await createWorld({slow: 1.6, fast: 0.6})
 		expect(await placeLater("k.0.0.0", {estimateMs: 100, startBy: -1_000})).to.equal("fast")
 	})
 
-	it("cost nothing while a task ends in time there, and more the later it would be", () => {
+	it("cost nothing if a task ends in time there, and more the later it would be", () => {
 		const due = {estimateMs: 100, startBy: 100}
 		expect(speedCost(1.3, due, 0)).to.equal(0)
 		expect(speedCost(1.6, due, 0)).to.be.greaterThan(0)
@@ -76,8 +73,7 @@
 		expect(speedCost(30, due, 0)).to.be.lessThan(5)
 	})
 
-	it("take work at their pace: what waits before a start is counted in time, not in cores", async () => {
-		// Two domains of the same cores; in one of them the executors take twice as long.
+	it("have their waiting work and capacity scaled by speed", async () => {
 		const full = {estimateMs: 1_000, startBy: 5_000}
 		const waits: number[] = []
 		const told: number[] = []
@@ -91,9 +87,8 @@
 		expect(told[0]! / told[1]!).to.be.within(1.7, 2.1)
 	})
 
-	it("show that they have turned slow by runs that go on", async () => {
-		// Three tasks have run for longer than their estimates, and their executor lists them as some hundredths done. That says
-		// more than their ends would, and long before these.
+	it("are recognised as slow from the progress of unfinished runs", async () => {
+		// Three tasks have run for longer than their estimates with little progress.
 		const {clock, orders, speeds, place} = await createWorld(
 			{e1: 1},
 			{cpu: 64_000, memoryMb: 1_000, accelerators: 0},
@@ -104,7 +99,7 @@
 		expect(speeds.expectedSlowness("e1")).to.be.greaterThan(4)
 	})
 
-	/** The first second after a loss of all, at a crest: placers that know nothing, and placers that were told. */
+	/** The first second after a loss of all instances, at peak demand. */
 	const CREST: ReplayDay = {
 		work: UNEVEN_WORK,
 		executorsPerDomain: 18,
@@ -131,7 +126,7 @@
 	const sumOf = (all: readonly ReplayFigures[], figure: (one: ReplayFigures) => number) =>
 		all.reduce((sum, one) => sum + figure(one), 0)
 
-	it("serve more jobs in time from the first second on when their speeds are known", async () => {
+	it("serve more jobs in time in the first second when their speeds are known", async () => {
 		const learnt = await replayAll(CREST)
 		const told = await replayAll({...CREST, keepSpeeds: toldSpeeds})
 		for (const [name, all] of [
