--- a/packages/jobs/test/admission.test.ts
+++ b/packages/jobs/test/admission.test.ts
@@ -24,7 +24,7 @@
 import {QUEUE} from "./support/requests.js"
 
 const EVEN = {servedRatio: 0.9, dueRatio: 0.9, excess: 0}
-const asked: AdmissionInput = {
+const INPUT: AdmissionInput = {
 	forecast: {startInMs: 20, endInMs: 120},
 	backlogMs: 10,
 	slackMs: 100,
@@ -33,28 +33,28 @@
 	requestedRatio: 1.2,
 	lateBacklogMs: 0,
 }
-const HOPELESS = {startInMs: 300, endInMs: 400}
+const LATE_FORECAST = {startInMs: 300, endInMs: 400}
 
 describe("the admission decision", () => {
 	it("admits a job that can be in time behind a short backlog", () => {
-		expect(decideAdmission(asked)).to.eql({type: "admitted"})
+		expect(decideAdmission(INPUT)).to.eql({type: "admitted"})
 	})
 
 	it("bounds the backlog by the queue's excess over its fair share", () => {
 		const backlogMs = 50
-		const above = decideAdmission({...asked, backlogMs, share: {...EVEN, excess: 0.05}})
-		const below = decideAdmission({...asked, backlogMs, share: {...EVEN, excess: -0.05}})
+		const above = decideAdmission({...INPUT, backlogMs, share: {...EVEN, excess: 0.05}})
+		const below = decideAdmission({...INPUT, backlogMs, share: {...EVEN, excess: -0.05}})
 		expect(above).to.deep.include({type: "refused", reason: "backlog"})
 		expect(below).to.eql({type: "admitted"})
 	})
 
 	it("refuses a job that cannot be in time while all capacity is requested", () => {
-		const verdict = decideAdmission({...asked, forecast: HOPELESS})
+		const verdict = decideAdmission({...INPUT, forecast: LATE_FORECAST})
 		expect(verdict).to.deep.include({type: "refused", reason: "not_in_time"})
 	})
 
 	it("admits it as late once there is spare capacity, and no more late work than that", () => {
-		const later = {...asked, forecast: HOPELESS, requestedRatio: 0.3}
+		const later = {...INPUT, forecast: LATE_FORECAST, requestedRatio: 0.3}
 		expect(decideAdmission(later)).to.eql({type: "late"})
 		expect(decideAdmission({...later, lateBacklogMs: 500}).type).to.equal("refused")
 		expect(decideAdmission({...later, usefulMs: 200}).type).to.equal("refused")
@@ -62,7 +62,7 @@
 
 	it("gives the absence of executors as the reason rather than load", () => {
 		const forecast = {startInMs: Infinity, endInMs: Infinity}
-		const verdict = decideAdmission({...asked, forecast, backlogMs: Infinity})
+		const verdict = decideAdmission({...INPUT, forecast, backlogMs: Infinity})
 		expect(verdict).to.deep.include({type: "refused", reason: "no_executor"})
 	})
 })
@@ -196,16 +196,16 @@
 function createWorld() {
 	const clock = createFakeClock()
 	const load = {healthyCores: 100, freeCores: 0, freedCoresPerMs: 1}
-	const figures = {load, work: 0, isBeginning: false}
+	const state = {load, work: 0, isStartingUp: false}
 	const admission = createAdmission({
 		clock,
 		log: silentLog,
 		metrics: createJobMetrics(),
 		placer: {
-			load: () => figures.load,
-			work: () => figures.work,
-			workBefore: () => figures.work,
-			isStartingUp: () => figures.isBeginning,
+			load: () => state.load,
+			work: () => state.work,
+			workBefore: () => state.work,
+			isStartingUp: () => state.isStartingUp,
 			hasRoomFor: () => false,
 		},
 		borrowableCores: () => 0,
@@ -245,7 +245,7 @@
 	}
 
 	const starts = new Map<string, () => void>()
-	return {clock, figures, admission, submitted, starts, jobOf, follow}
+	return {clock, state, admission, submitted, starts, jobOf, follow}
 }
 
 async function endOf(run: JobRun): Promise<JobEnd | "open"> {
@@ -258,14 +258,14 @@
 	/* Most executors crash while a job waits; its caller must be told while another domain can still take the job. */
 	it("refuses a waiting job within 50 ms once it can no longer be in time", async () => {
 		const world = createWorld()
-		const {clock, figures, admission} = world
+		const {clock, state, admission} = world
 		const job = world.jobOf(QUEUE, 100)
 		expect(admission.assess(job, QUEUE)).to.equal("in time")
 		const run = world.follow(job, QUEUE, false)
 		await clock.advance(30)
 		expect(await endOf(run)).to.equal("open")
-		figures.load = {healthyCores: 10, freeCores: 0, freedCoresPerMs: 0.1}
-		figures.work = 8_000
+		state.load = {healthyCores: 10, freeCores: 0, freedCoresPerMs: 0.1}
+		state.work = 8_000
 		await clock.advance(50)
 		const end = await run.ended
 		expect(end).to.deep.include({type: "refused", kind: "overloaded"})
@@ -275,15 +275,15 @@
 	/* Before any executor has answered a new placer no start is forecast, which must not refuse its jobs. */
 	it("keeps jobs waiting while their placer starts up", async () => {
 		const world = createWorld()
-		const {clock, figures, admission} = world
-		figures.isBeginning = true
-		figures.load = {healthyCores: 0, freeCores: 0, freedCoresPerMs: 0}
+		const {clock, state, admission} = world
+		state.isStartingUp = true
+		state.load = {healthyCores: 0, freeCores: 0, freedCoresPerMs: 0}
 		const job = world.jobOf(QUEUE, 100)
 		expect(admission.assess(job, QUEUE)).to.equal("in time")
 		const run = world.follow(job, QUEUE, false)
 		await clock.advance(100)
 		expect(await endOf(run)).to.equal("open")
-		figures.isBeginning = false
+		state.isStartingUp = false
 		await clock.advance(50)
 		expect(await endOf(run)).to.deep.include({type: "refused", kind: "no_capacity"})
 	})
@@ -291,11 +291,11 @@
 	/* A started task may have run, so its caller must not be told that it did not. */
 	it("refuses no job of which a task has started", async () => {
 		const world = createWorld()
-		const {clock, figures} = world
+		const {clock, state} = world
 		const job = world.jobOf(QUEUE, 100)
 		const run = world.follow(job, QUEUE, false)
 		world.starts.get(job.id)?.()
-		figures.work = 1e6
+		state.work = 1e6
 		await clock.advance(200)
 		expect(await endOf(run)).to.equal("open")
 		run.refuse({type: "refused", kind: "overloaded", cause: "test"})
@@ -305,12 +305,12 @@
 	/* Long work of a queue above its fair share fills the backlog, and urgent jobs of another queue are refused. */
 	it("lets an urgent newcomer evict waiting work of a queue above its share", async () => {
 		const world = createWorld()
-		const {admission, figures} = world
-		figures.load = {...figures.load, healthyCores: 1}
+		const {admission, state} = world
+		state.load = {...state.load, healthyCores: 1}
 		const long = world.jobOf(BULK, 900)
 		expect(admission.assess(long, BULK)).to.equal("in time")
 		const run = world.follow(long, BULK, false)
-		figures.work = 200
+		state.work = 200
 		for (let at = 0; at < 5; at++) {
 			await world.clock.advance(11)
 			const verdict = admission.assess(world.jobOf(QUEUE, 100), QUEUE)
--- a/packages/jobs/test/domain-choice.test.ts
+++ b/packages/jobs/test/domain-choice.test.ts
@@ -21,7 +21,7 @@
 }
 
 /** 64 cores behind 6,400 core-milliseconds: 125 ms of work. */
-const FULL: OwnDomain = {
+const OWN: OwnDomain = {
 	failureDomain: "a",
 	totalCpu: 64_000,
 	waitingWork: 6_400,
@@ -29,7 +29,7 @@
 	wouldRefuse: false,
 }
 
-const news = (failureDomain: string, changes: Partial<DomainReport> = {}): DomainReport => ({
+const report = (failureDomain: string, changes: Partial<DomainReport> = {}): DomainReport => ({
 	failureDomain,
 	reportedCpu: [16_000, 16_000],
 	freeCpu: [16_000, 16_000],
@@ -51,12 +51,12 @@
 
 const chosen = (
 	all: readonly DomainReport[],
-	{own = FULL, need = NEED, crossDomainMs = 0} = {},
+	{own = OWN, need = NEED, crossDomainMs = 0} = {},
 ): string | undefined => chooseDomain(own, all, need, crossDomainMs)?.failureDomain
 
 describe("choice of a job's failure domain", () => {
 	it("is a domain that has room for the whole job, with the forecast waits of both domains", () => {
-		const choice = chooseDomain(FULL, [news("b")], NEED, 0)
+		const choice = chooseDomain(OWN, [report("b")], NEED, 0)
 		expect(choice?.failureDomain).to.equal("b")
 		expect(choice?.hereMs).to.be.greaterThan(100)
 		expect(choice?.thereMs).to.be.lessThan(10)
@@ -64,22 +64,22 @@
 	})
 
 	it("is the job's own domain unless the gain reaches the operator's threshold", () => {
-		expect(chosen([news("b")], {crossDomainMs: 100})).to.equal("b")
-		expect(chosen([news("b")], {crossDomainMs: 200})).to.equal(undefined)
+		expect(chosen([report("b")], {crossDomainMs: 100})).to.equal("b")
+		expect(chosen([report("b")], {crossDomainMs: 200})).to.equal(undefined)
 		// The queue takes a millisecond, less than the round trip to another domain.
-		const short = {...FULL, totalCpu: 6_400_000}
-		expect(chosen([news("b")], {own: short})).to.equal(undefined)
+		const short = {...OWN, totalCpu: 6_400_000}
+		expect(chosen([report("b")], {own: short})).to.equal(undefined)
 	})
 
 	it("forecasts at least the wait so far, whatever the queue's length", () => {
-		const own = {...FULL, waitingWork: 0, totalCpu: 6_400_000, waitedMs: 40}
+		const own = {...OWN, waitingWork: 0, totalCpu: 6_400_000, waitedMs: 40}
 		expect(forecastLocalStartMs(own, NEED)).to.equal(40)
-		expect(chosen([news("b")], {own})).to.equal("b")
+		expect(chosen([report("b")], {own})).to.equal("b")
 	})
 
 	it("is the domain with more free capacity, of two with the same forecast", () => {
-		expect(chosen([news("b"), news("c", {freeCpu: [16_000, 8_000]})])).to.equal("b")
-		expect(chosen([news("b", {freeCpu: [16_000, 8_000]}), news("c")])).to.equal("c")
+		expect(chosen([report("b"), report("c", {freeCpu: [16_000, 8_000]})])).to.equal("b")
+		expect(chosen([report("b", {freeCpu: [16_000, 8_000]}), report("c")])).to.equal("c")
 	})
 
 	it("is no domain that is evacuated, leaving, unreachable, strained, silent, or just starting up", () => {
@@ -93,23 +93,23 @@
 			{claimAgeMs: 100},
 		]
 		for (const changes of unfit)
-			expect(chosen([news("b", changes)]), JSON.stringify(changes)).to.equal(undefined)
+			expect(chosen([report("b", changes)]), JSON.stringify(changes)).to.equal(undefined)
 	})
 
 	it("is no domain whose report is older than two heartbeats", () => {
-		expect(chosen([news("b", {ageMs: 501})])).to.equal(undefined)
+		expect(chosen([report("b", {ageMs: 501})])).to.equal(undefined)
 	})
 
 	it("is no domain that lacks a label, and none that had the job before", () => {
-		expect(chosen([news("b")], {need: {...NEED, labels: ["r1"]}})).to.equal(undefined)
-		expect(chosen([news("b", {labels: ["r1"]})], {need: {...NEED, labels: ["r1"]}})).to.equal("b")
-		expect(chosen([news("b")], {need: {...NEED, been: ["b"]}})).to.equal(undefined)
+		expect(chosen([report("b")], {need: {...NEED, labels: ["r1"]}})).to.equal(undefined)
+		expect(chosen([report("b", {labels: ["r1"]})], {need: {...NEED, labels: ["r1"]}})).to.equal("b")
+		expect(chosen([report("b")], {need: {...NEED, been: ["b"]}})).to.equal(undefined)
 	})
 
 	/* Another queue may refuse the job too, and a job admitted here would lose its place. */
 	it("is a domain with a queue only for a job that is refused here and would be in time there", () => {
-		const queue = news("b", {reportedCpu: [], freeCpu: [], waitingWork: 800})
-		const refusing = {...FULL, wouldRefuse: true}
+		const queue = report("b", {reportedCpu: [], freeCpu: [], waitingWork: 800})
+		const refusing = {...OWN, wouldRefuse: true}
 		expect(chosen([queue])).to.equal(undefined)
 		expect(chosen([queue], {own: refusing})).to.equal("b")
 		expect(chosen([queue], {own: refusing, need: {...NEED, startInMs: 50}})).to.equal(undefined)
--- a/packages/jobs/test/lease-rule.test.ts
+++ b/packages/jobs/test/lease-rule.test.ts
@@ -13,7 +13,7 @@
 
 const RESUBMIT_MS = 1_300
 /** The network delay that the rule leaves to callers. */
-const WAY_MS = 50
+const CALLER_DELAY_MS = 50
 
 /** Converts between this process's clock and that of an executor with the given rate and offset. */
 function executorAt(rate: number, offset: number) {
@@ -23,7 +23,7 @@
 	}
 }
 
-const scene = fc.record({
+const scenario = fc.record({
 	rate: fc.double({min: SLOWEST_RATE, max: 1, noNaN: true}),
 	offset: fc.integer({min: 0, max: 1_000_000}),
 	readingAgeMs: fc.integer({min: 0, max: 5_000}),
@@ -32,12 +32,12 @@
 
 describe("lease rule", () => {
 	it("ends every run before its caller may retry", () => {
-		expect(LEASE_RULE.endsWithinMs + WAY_MS).to.be.at.most(RESUBMIT_MS)
+		expect(LEASE_RULE.endsWithinMs + CALLER_DELAY_MS).to.be.at.most(RESUBMIT_MS)
 	})
 
 	it("requests no lease under which a run could go on for too long, at any rate of the executor's clock", () => {
 		fc.assert(
-			fc.property(scene, ({rate, offset, readingAgeMs, confirmationAgeMs}) => {
+			fc.property(scenario, ({rate, offset, readingAgeMs, confirmationAgeMs}) => {
 				const now = 100_000
 				const executor = executorAt(rate, offset)
 				const clock = createExecutorClock(LEASE_RULE)
@@ -55,7 +55,7 @@
 
 	it("never takes a lease as ended too early, and does so in the end", () => {
 		fc.assert(
-			fc.property(scene, ({rate, offset, readingAgeMs}) => {
+			fc.property(scenario, ({rate, offset, readingAgeMs}) => {
 				const now = 100_000
 				const executor = executorAt(rate, offset)
 				const clock = createExecutorClock(LEASE_RULE)
--- a/packages/jobs/test/slices.test.ts
+++ b/packages/jobs/test/slices.test.ts
@@ -425,7 +425,7 @@
 	it("decodes an entry again only when it has changed", async () => {
 		const clock = createFakeClock()
 		const {fake, store} = createFakeStore()
-		const told: (readonly string[])[] = []
+		const lists: (readonly string[])[] = []
 		let checks = 0
 		createExecutorList({
 			clock,
@@ -438,7 +438,7 @@
 				const {isLeaving} = value as {readonly isLeaving: boolean}
 				return record(key.slice("servers/".length), {isLeaving})
 			},
-			onList: records => void told.push(records.map(({id, isLeaving}) => `${id} ${isLeaving}`)),
+			onList: records => void lists.push(records.map(({id, isLeaving}) => `${id} ${isLeaving}`)),
 			isNeeded: () => true,
 		})
 		fake.write("servers/e1", {isLeaving: false})
@@ -449,6 +449,6 @@
 		expect(checks).to.equal(before)
 		fake.write("servers/e1", {isLeaving: true})
 		await clock.advance(2_000)
-		expect(told.at(-1)).to.eql(["e1 true"])
+		expect(lists.at(-1)).to.eql(["e1 true"])
 	})
 })
--- a/packages/jobs/test/speed-keeping.test.ts
+++ b/packages/jobs/test/speed-keeping.test.ts
@@ -18,15 +18,15 @@
 const claimOf = (fence: number): Claim => ({failureDomain: "a", fence, placer})
 
 /** An instance with no state but the store. */
-function createKeeping(clock: FakeClock, store: ReturnType<typeof createFakeStore>["store"]) {
+function createInstance(clock: FakeClock, store: ReturnType<typeof createFakeStore>["store"]) {
 	const metrics = createJobMetrics()
-	return {metrics, keeping: createSpeedStores({clock, store, log: silentLog, metrics})}
+	return {metrics, stores: createSpeedStores({clock, store, log: silentLog, metrics})}
 }
 
 function createWorld() {
 	const clock = createFakeClock()
 	const {fake, store} = createFakeStore()
-	return {clock, fake, store, begin: () => createKeeping(clock, store)}
+	return {clock, fake, store, begin: () => createInstance(clock, store)}
 }
 
 const speed = (slowness: number, weight = 9): Speed => ({
@@ -114,12 +114,12 @@
 describe("stored speeds", () => {
 	it("let a successor begin with its predecessor's speeds", async () => {
 		const {clock, begin} = createWorld()
-		const first = begin().keeping.open(claimOf(1))
+		const first = begin().stores.open(claimOf(1))
 		await clock.advance(10)
 		learn(first)
 		await clock.advance(2_000)
 		first.close()
-		const second = begin().keeping.open(claimOf(2))
+		const second = begin().stores.open(claimOf(2))
 		second.speeds.add({id: "fast", labels: ["a"]})
 		second.speeds.add({id: "slow", labels: ["a"]})
 		await clock.advance(10)
@@ -132,13 +132,13 @@
 
 	it("are available after a loss of all instances as soon as the store answers", async () => {
 		const {clock, begin} = createWorld()
-		const before = begin().keeping.open(claimOf(1))
+		const before = begin().stores.open(claimOf(1))
 		await clock.advance(10)
 		learn(before)
 		await clock.advance(2_500)
 		before.close()
 		await clock.advance(560)
-		const after = begin().keeping.open(claimOf(2))
+		const after = begin().stores.open(claimOf(2))
 		await clock.advance(1)
 		after.speeds.add({id: "slow", labels: ["a"]})
 		expect(after.speeds.expectedSlowness("slow")).to.be.greaterThan(1.4)
@@ -151,7 +151,7 @@
 		const {clock, fake, begin} = createWorld()
 		fake.write(speedKey("a"), {fence: 1, executors: {slow: [9, 9], fast: [-10, 9]}, labels: {}})
 		fake.isAway = true
-		const keeper = begin().keeping.open(claimOf(2))
+		const keeper = begin().stores.open(claimOf(2))
 		await clock.advance(3_000)
 		learn(keeper, 1)
 		await clock.advance(3_000)
@@ -165,16 +165,16 @@
 
 	it("are written when they change, and again when a write fails", async () => {
 		const {clock, fake, begin} = createWorld()
-		const keeper = begin().keeping.open(claimOf(1))
+		const keeper = begin().stores.open(claimOf(1))
 		await clock.advance(5_000)
-		expect(fake.puts, "nothing is known").to.equal(0)
+		expect(fake.puts, "nothing was learnt").to.equal(0)
 		learn(keeper)
 		fake.isAway = true
 		await clock.advance(4_000)
-		expect(fake.puts, "lost, and tried again").to.equal(2)
+		expect(fake.puts, "failed, and tried again").to.equal(2)
 		fake.isAway = false
 		await clock.advance(10_000)
-		expect(fake.puts, "told once").to.equal(3)
+		expect(fake.puts, "written once").to.equal(3)
 		// Noise causes no write; a slowdown does.
 		keeper.speeds.observe("slow", 1.4)
 		await clock.advance(4_000)
@@ -185,14 +185,14 @@
 		keeper.close()
 		for (let run = 0; run < 8; run++) keeper.speeds.observe("slow", 1)
 		await clock.advance(5_000)
-		expect(fake.puts, "somebody else places now").to.equal(4)
+		expect(fake.puts, "another placer has the domain").to.equal(4)
 	})
 
 	it("include inherited speeds of executors that have not appeared yet", async () => {
 		// The list may be late or incomplete, and a placer lost meanwhile must not lose the others' speeds.
 		const {clock, fake, begin} = createWorld()
 		fake.write(speedKey("a"), {fence: 1, executors: {late: [9, 9]}, labels: {}})
-		const keeper = begin().keeping.open(claimOf(2))
+		const keeper = begin().stores.open(claimOf(2))
 		await clock.advance(10)
 		learn(keeper)
 		await clock.advance(2_500)
@@ -203,8 +203,8 @@
 	it("are counted where invalid or of unknown executors, and the others are used", async () => {
 		const {clock, fake, begin} = createWorld()
 		fake.write(speedKey("a"), {executors: {slow: [9, 9], gone: [9, 9], bad: ["x", 1]}, labels: 7})
-		const {metrics, keeping} = begin()
-		const keeper = keeping.open(claimOf(2))
+		const {metrics, stores} = begin()
+		const keeper = stores.open(claimOf(2))
 		keeper.speeds.add({id: "slow", labels: []})
 		await clock.advance(6_000)
 		expect(keeper.speeds.expectedSlowness("slow")).to.be.greaterThan(1.3)
--- a/packages/jobs/test/speeds-taken-over.test.ts
+++ b/packages/jobs/test/speeds-taken-over.test.ts
@@ -18,7 +18,7 @@
 const EXECUTORS = [record("e1"), record("e2"), record("e3")]
 
 /** An instance from its start to its end. */
-function createLife(
+function createInstance(
 	session: string,
 	clock: FakeClock,
 	store: ReturnType<typeof createFakeStore>["store"],
@@ -58,7 +58,7 @@
 		// The only instance learns that e2 is fast, and is replaced by one with no state but the store.
 		const clock = createFakeClock()
 		const {store} = createFakeStore()
-		const before = createLife("s1", clock, store)
+		const before = createInstance("s1", clock, store)
 		before.hosts.noteClaim(before.claimOf(1))
 		await clock.advance(20)
 		const speeds = before.hosts.of("a")?.speedKeeper?.speeds
@@ -72,7 +72,7 @@
 		await clock.advance(2_100)
 		before.hosts.close()
 		await clock.advance(560)
-		const after = createLife("s2", clock, store)
+		const after = createInstance("s2", clock, store)
 		after.hosts.noteClaim(after.claimOf(2))
 		await clock.advance(20)
 		expect(await after.place("j.0.0.0")).to.equal("e2")
@@ -81,7 +81,7 @@
 	it("are not written by a placer that has lost its domain", async () => {
 		const clock = createFakeClock()
 		const {fake, store} = createFakeStore()
-		const {hosts, claimOf} = createLife("s1", clock, store)
+		const {hosts, claimOf} = createInstance("s1", clock, store)
 		hosts.noteClaim(claimOf(1))
 		await clock.advance(20)
 		const speeds = hosts.of("a")?.speedKeeper?.speeds
@@ -96,7 +96,7 @@
 		const clock = createFakeClock()
 		const {fake, store} = createFakeStore()
 		fake.write(speedKey("a"), "no record at all")
-		const {hosts, claimOf, place} = createLife("s1", clock, store)
+		const {hosts, claimOf, place} = createInstance("s1", clock, store)
 		hosts.noteClaim(claimOf(1))
 		await clock.advance(20)
 		expect(await place("j.0.0.0")).to.be.oneOf(["e1", "e2", "e3"])
@@ -106,7 +106,7 @@
 		const clock = createFakeClock()
 		const {store} = createFakeStore()
 		const silent = {...store, get: () => new Promise<undefined>(ignore)}
-		const {hosts, claimOf, place} = createLife("s1", clock, silent)
+		const {hosts, claimOf, place} = createInstance("s1", clock, silent)
 		hosts.noteClaim(claimOf(1))
 		await clock.advance(20)
 		expect(await place("j.0.0.0")).to.be.oneOf(["e1", "e2", "e3"])
@@ -119,8 +119,8 @@
 		const clock = createFakeClock()
 		const orders = new FakeExecutors(clock)
 		const speeds = createPersistentSpeeds(() => clock.now())
-		const told = new Map([["e1", {mean: Math.log(slowness), weight: 9, outliers: 0}]])
-		speeds.merge({executors: told, labels: new Map()})
+		const inherited = new Map([["e1", {mean: Math.log(slowness), weight: 9, outliers: 0}]])
+		speeds.merge({executors: inherited, labels: new Map()})
 		const placer = createTestPlacer({clock, orders, speeds})
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
--- a/packages/jobs/test/speeds.test.ts
+++ b/packages/jobs/test/speeds.test.ts
@@ -13,16 +13,16 @@
 } from "@cottonwood/jobs/internals"
 
 const ESTIMATE_SPREAD = 0.4
-const TAIL_SHARE = 0.03
-const TAIL_TIMES = 7
+const OUTLIER_SHARE = 0.03
+const OUTLIER_TIMES = 7
 
 /** Draws run times over estimates on an executor with the given slowness. */
 function drawRuns(seed: number, slowness: () => number): () => number {
 	const random = seededRandom(seed)
 	return () => {
 		const normal = Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random())
-		const tail = random() < TAIL_SHARE ? TAIL_TIMES : 1
-		return slowness() * tail * Math.exp(ESTIMATE_SPREAD * normal)
+		const outlier = random() < OUTLIER_SHARE ? OUTLIER_TIMES : 1
+		return slowness() * outlier * Math.exp(ESTIMATE_SPREAD * normal)
 	}
 }
 
@@ -63,10 +63,10 @@
 	it("is hardly changed by an outlier, nor is the executor's health", () => {
 		const known = learnMany(20, () => 1.6)
 		const before = slownessOf(known)
-		const after = learnRun(known, 0, 1.6 * TAIL_TIMES)
+		const after = learnRun(known, 0, 1.6 * OUTLIER_TIMES)
 		expect(slownessOf(after) / before).to.be.lessThan(1.06)
 		// A raw outlier would set the executor aside, since health is smoothed by an eighth.
-		expect(capOutlier(1.6 * TAIL_TIMES, before, known)).to.be.lessThan(4)
+		expect(capOutlier(1.6 * OUTLIER_TIMES, before, known)).to.be.lessThan(4)
 	})
 
 	it("follows an executor that turns five times slower within ten runs, and back", () => {
--- a/packages/jobs/test/uneven-executors.test.ts
+++ b/packages/jobs/test/uneven-executors.test.ts
@@ -16,7 +16,7 @@
 
 const speedOf = (slowness: number) => ({mean: Math.log(slowness), weight: 9, outliers: 0})
 
-function inherit(speeds: PersistentSpeeds, slowness: Readonly<Record<string, number>>) {
+function inheritSpeeds(speeds: PersistentSpeeds, slowness: Readonly<Record<string, number>>) {
 	const executors = new Map(Object.entries(slowness).map(([id, times]) => [id, speedOf(times)]))
 	speeds.merge({executors, labels: new Map()})
 }
@@ -29,7 +29,7 @@
 	const clock = createFakeClock()
 	const orders = new FakeExecutors(clock)
 	const speeds = createPersistentSpeeds(() => clock.now())
-	inherit(speeds, slowness)
+	inheritSpeeds(speeds, slowness)
 	const placer = createTestPlacer({clock, orders, speeds})
 	placer.setExecutors(Object.keys(slowness).map(id => record(id, {capacity})))
 	await clock.advance(10)
@@ -76,15 +76,15 @@
 	it("have their waiting work and capacity scaled by speed", async () => {
 		const full = {estimateMs: 1_000, startBy: 5_000}
 		const waits: number[] = []
-		const told: number[] = []
+		const reported: number[] = []
 		for (const slowness of [1, 2]) {
 			const {place, placer} = await createWorld({e1: slowness, e2: slowness})
 			for (let at = 0; at < 8; at++) await place(`j.0.0.${at}`, full)
 			waits.push(placer.expectedWaitMs(Infinity))
-			told.push(placer.room().totalCpu)
+			reported.push(placer.room().totalCpu)
 		}
 		expect(waits[1]! / waits[0]!).to.be.within(1.7, 2.1)
-		expect(told[0]! / told[1]!).to.be.within(1.7, 2.1)
+		expect(reported[0]! / reported[1]!).to.be.within(1.7, 2.1)
 	})
 
 	it("are recognised as slow from the progress of unfinished runs", async () => {
@@ -107,10 +107,10 @@
 		lengthMs: 1_000,
 		troubles: [],
 	}
-	const toldSpeeds: ReplayDay["keepSpeeds"] = (clock, executors) => {
+	const knownSpeeds: ReplayDay["keepSpeeds"] = (clock, executors) => {
 		const speeds = createPersistentSpeeds(() => clock.now())
 		const pairs = executors.map(({record: {id}, faults}) => [id, faults.slowness] as const)
-		inherit(speeds, Object.fromEntries(pairs))
+		inheritSpeeds(speeds, Object.fromEntries(pairs))
 		return {speeds, close: () => undefined}
 	}
 	const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8]
@@ -128,10 +128,10 @@
 
 	it("serve more jobs in time in the first second when their speeds are known", async () => {
 		const learnt = await replayAll(CREST)
-		const told = await replayAll({...CREST, keepSpeeds: toldSpeeds})
+		const known = await replayAll({...CREST, keepSpeeds: knownSpeeds})
 		for (const [name, all] of [
-			["learnt anew", learnt],
-			["told", told],
+			["learnt", learnt],
+			["known", known],
 		] as const) {
 			const text = (figure: (one: ReplayFigures) => number) =>
 				(sumOf(all, figure) / all.length).toFixed(3)
@@ -139,7 +139,9 @@
 			const shares = `in time ${text(({inTime}) => inTime)}, late ${text(({late}) => late)}`
 			console.log(`        ${name}: credit ${credit}, ${shares}`)
 		}
-		expect(sumOf(told, ({inTime}) => inTime)).to.be.greaterThan(sumOf(learnt, ({inTime}) => inTime))
-		expect(sumOf(told, ({whole}) => whole)).to.be.greaterThan(sumOf(learnt, ({whole}) => whole))
+		expect(sumOf(known, ({inTime}) => inTime)).to.be.greaterThan(
+			sumOf(learnt, ({inTime}) => inTime),
+		)
+		expect(sumOf(known, ({whole}) => whole)).to.be.greaterThan(sumOf(learnt, ({whole}) => whole))
 	})
 })
