--- a/packages/jobs/src/decide/lease-rule.ts
+++ b/packages/jobs/src/decide/lease-rule.ts
@@ -67,8 +67,8 @@
 }
 
 /** The same on the coordinator's clock, for a confirmation as of `toldAt`; the placer's clock may be as slow as an executor's. */
-export function certainEndSinceTold({endsWithinMs}: LeaseRule, toldAt: number): number {
-	return toldAt + endsWithinMs / SLOWEST_RATE
+export function certainEndForCoordinator({endsWithinMs}: LeaseRule, confirmedAt: number): number {
+	return confirmedAt + endsWithinMs / SLOWEST_RATE
 }
 
 /** Whether the last confirmation of a run is too old. */
--- a/packages/jobs/src/decide/rescheduling.ts
+++ b/packages/jobs/src/decide/rescheduling.ts
@@ -4,7 +4,7 @@
  * The lost placer may have started tasks, so none may start elsewhere before every run has certainly ended. A job that would be
  * useless by then is answered at once.
  */
-import {certainEndSinceTold, type LeaseRule} from "./lease-rule.js"
+import {certainEndForCoordinator, type LeaseRule} from "./lease-rule.js"
 
 /** A job whose placer became unreachable; times are milliseconds on the coordinator's monotonic clock. */
 export interface LostJob {
@@ -18,6 +18,6 @@
 
 /** The earliest time at which the job may be rescheduled; undefined when its result would be useless by then. */
 export function rescheduleAt(rule: LeaseRule, lost: LostJob, now: number): number | undefined {
-	const at = Math.max(now, certainEndSinceTold(rule, lost.lastConfirmedAt))
+	const at = Math.max(now, certainEndForCoordinator(rule, lost.lastConfirmedAt))
 	return at + lost.chainMs <= lost.usefulUntil ? at : undefined
 }
--- a/packages/jobs/src/decide/speeds.ts
+++ b/packages/jobs/src/decide/speeds.ts
@@ -34,7 +34,7 @@
 
 const UNKNOWN_SPEED: Speed = {mean: 0, weight: 0, outliers: 0}
 
-const clamp = (value: number, least: number, most: number) => Math.min(most, Math.max(least, value))
+const clamp = (value: number, min: number, max: number) => Math.min(max, Math.max(min, value))
 
 /** The expected speed of an executor with a label, as a logarithm, before its first run. */
 export function priorLog(label: Speed = UNKNOWN_SPEED): number {
--- a/packages/jobs/src/place/executor-assessment.ts
+++ b/packages/jobs/src/place/executor-assessment.ts
@@ -101,8 +101,8 @@
 			const slowness = ranMs / Math.max(1, run.req.estimateMs)
 			if (run.stopCause === "stuck") return observeStuck(executor, slowness)
 			if (end.type !== "done" && end.type !== "failed") return health.endProbe(executor)
-			const judgedSlowness = speeds.cappedSlowness(executor, slowness)
-			health.observe({target: executor, failed: end.type === "failed", slowness: judgedSlowness})
+			const cappedSlowness = speeds.cappedSlowness(executor, slowness)
+			health.observe({target: executor, failed: end.type === "failed", slowness: cappedSlowness})
 			if (end.type === "failed") return
 			metrics.observe("run_ms", tookMs)
 			if (!isLate && !learntEarly.has(run)) speeds.observe(executor, slowness)
--- a/packages/jobs/src/place/persistent-speeds.ts
+++ b/packages/jobs/src/place/persistent-speeds.ts
@@ -113,15 +113,15 @@
 		},
 		stats() {
 			let known = 0
-			let least = Infinity
-			let most = 0
+			let min = Infinity
+			let max = 0
 			for (const {speed, slowness} of entries.values()) {
 				if (!speed) continue
 				known++
-				least = Math.min(least, slowness)
-				most = Math.max(most, slowness)
+				min = Math.min(min, slowness)
+				max = Math.max(max, slowness)
 			}
-			return {known, spread: known > 1 ? most / least : 1}
+			return {known, spread: known > 1 ? max / min : 1}
 		},
 	}
 }
--- a/packages/jobs/src/place/scheduling-pass.ts
+++ b/packages/jobs/src/place/scheduling-pass.ts
@@ -119,9 +119,9 @@
 }
 
 function freestCpu(links: Links): number {
-	let most = 0
-	for (const link of links.values()) most = Math.max(most, link.freeCpu())
-	return most
+	let max = 0
+	for (const link of links.values()) max = Math.max(max, link.freeCpu())
+	return max
 }
 
 function hasRunOf({links, runCounts}: PlacerState, task: string): boolean {
--- a/packages/jobs/test/placed-anew.test.ts
+++ b/packages/jobs/test/placed-anew.test.ts
@@ -3,7 +3,7 @@
  */
 import {createJobMetrics, silentLog, type Job, type JobEnd, type Member} from "@cottonwood/jobs"
 import {
-	certainEndSinceTold,
+	certainEndForCoordinator,
 	createDispatcher,
 	createFleetView,
 	createRescheduler,
@@ -131,7 +131,7 @@
 	 */
 	it("is as soon as every run is over, counted from what the placer was told last", () => {
 		const at = rescheduleAt(LEASE_RULE, lost, 5_600)
-		expect(at).to.equal(certainEndSinceTold(LEASE_RULE, 5_000))
+		expect(at).to.equal(certainEndForCoordinator(LEASE_RULE, 5_000))
 		expect(at).to.be.at.least(5_000 + LEASE_RULE.endsWithinMs)
 		expect(at).to.be.lessThan(5_600 + RESUBMIT_MS)
 	})
