--- a/packages/jobs/src/place/executor-assessment.ts
+++ b/packages/jobs/src/place/executor-assessment.ts
@@ -12,7 +12,7 @@
 const PROBE_AFTER_MS = 1_500
 /** How many failed runs a stuck run counts as, so that one is enough to set an executor aside. */
 const STUCK_WEIGHT = 3
-/** Two hold waits of a busy executor; the end of a run that was last seen earlier is late news. */
+/** Two hold waits of a busy executor; a run last seen earlier has a late end report. */
 const LATE_END_MS = 320
 const WHOLE_PERCENT = 100
 
@@ -95,7 +95,7 @@
 			const now = clock.now()
 			const tookMs = now - run.startedAt
 			logEnd(executor, run, end, proof)
-			// If the news of the end is late, only the time up to `lastSeenAt` is certain.
+			// If the end is reported late, only the time up to `lastSeenAt` is certain.
 			const isLate = now - run.lastSeenAt > LATE_END_MS
 			const ranMs = isLate ? run.lastSeenAt - run.startedAt : tookMs
 			const slowness = ranMs / Math.max(1, run.req.estimateMs)
