--- a/packages/jobs/src/decide/lease-rule.ts
+++ b/packages/jobs/src/decide/lease-rule.ts
@@ -66,7 +66,7 @@
 	return confirmedAt + endsWithinMs
 }
 
-/** The same on the coordinator's clock, for a confirmation as of `confirmedAt`; the placer's clock may be as slow as an executor's. */
+/** The same on the coordinator's clock, since the placer's clock may be as slow as an executor's. */
 export function certainEndForCoordinator({endsWithinMs}: LeaseRule, confirmedAt: number): number {
 	return confirmedAt + endsWithinMs / SLOWEST_RATE
 }
