--- a/packages/jobs/src/decide/lease-rule.ts
+++ b/packages/jobs/src/decide/lease-rule.ts
@@ -21,7 +21,7 @@
 /** The shortest lease for a start: two unanswered holds would end a shorter one. */
 const MIN_START_LEASE_MS = 400
 
-/** A run with an older confirmation is stopped, since it halves its neighbours' leases. Broken connections are detected earlier. */
+/** A run with an older confirmation is stopped, since it halves its neighbours' leases. */
 const MAX_CONFIRMATION_AGE_MS = 700
 
 export interface LeaseRule {
