--- a/packages/jobs/src/decide/load.ts
+++ b/packages/jobs/src/decide/load.ts
@@ -1,44 +1,42 @@
-/**
- * What a placer's executors carry when a job comes, in figures that a forecast can be made of: how many cores are sound,
- * how many are free, and how fast what runs frees them.
- */
+/** The load of a placer's executors, as input for forecasts: healthy cores, free cores, and the rate at which runs free cores. */
 import type {ExecutorLink} from "../link/executor-link.js"
-import type {Judgement} from "../place/judgement.js"
+import type {ExecutorAssessment} from "../place/executor-assessment.js"
 import type {Run} from "../place/run.js"
 
 const MILLICORES = 1_000
 
 export interface PlacerLoad {
-	/** Cores, as work counts them, of executors that are, or will soon be, usable and are not set aside. */
+	/** Cores, scaled by speed, of executors that are usable, or will be soon, and not set aside. */
 	readonly healthyCores: number
 	readonly freeCores: number
-	/** Cores that what runs frees in a millisecond, by the estimates and the usual pace of the executors. */
+	/** Cores freed by the runs each millisecond, by their estimates and the executors' mean speed. */
 	readonly freedCoresPerMs: number
 }
 
-/** A walk over all that runs: made now and then, never for each job. */
+/** Iterates over all runs, so callers cache the result instead of computing it for each job. */
 export function loadOf(
 	links: ReadonlyMap<string, ExecutorLink>,
 	running: Iterable<Run>,
-	{health, speeds}: Judgement,
+	{health, speeds}: ExecutorAssessment,
 ): PlacerLoad {
-	let sound = 0
-	let pace = 0
-	let free = 0
+	let healthyCpu = 0
+	let scaledCpu = 0
+	let freeCpu = 0
 	for (const link of links.values()) {
 		const {id, capacity} = link.record
 		if (!link.isUsableSoon() || !health.isUsable(id)) continue
-		sound += capacity.cpu
-		pace += capacity.cpu / speeds.expectedSlowness(id)
-		if (link.isUsable()) free += Math.max(0, link.freeCpu())
+		healthyCpu += capacity.cpu
+		scaledCpu += capacity.cpu / speeds.expectedSlowness(id)
+		if (link.isUsable()) freeCpu += Math.max(0, link.freeCpu())
 	}
-	let freedPerMs = 0
+	let freedCpuPerMs = 0
 	for (const {req} of running)
-		if (!req.isFilling && !req.isLasting) freedPerMs += req.need.cpu / Math.max(1, req.estimateMs)
-	const usualPace = sound > 0 ? pace / sound : 1
+		if (!req.isFilling && !req.isLasting)
+			freedCpuPerMs += req.need.cpu / Math.max(1, req.estimateMs)
+	const meanSpeed = healthyCpu > 0 ? scaledCpu / healthyCpu : 1
 	return {
-		healthyCores: pace / MILLICORES,
-		freeCores: free / MILLICORES,
-		freedCoresPerMs: (freedPerMs * usualPace) / MILLICORES,
+		healthyCores: scaledCpu / MILLICORES,
+		freeCores: freeCpu / MILLICORES,
+		freedCoresPerMs: (freedCpuPerMs * meanSpeed) / MILLICORES,
 	}
 }
--- a/packages/jobs/src/decide/speeds.ts
+++ b/packages/jobs/src/decide/speeds.ts
@@ -1,108 +1,106 @@
 /**
- * What is known of how fast executors are, and how sure that is.
+ * Learns executors' speeds from run times, robustly against noisy estimates and long-tailed runs.
  *
- * The load: executors that differ several times in speed under tasks whose estimates are off by some 40% each, of which a few in
- * a hundred take many times as long. So one run says little, and a long tail says nothing; but an executor that turns slow
- * shows it in every run. Speeds are means of logarithms, in which twice as slow and twice as fast weigh alike. An executor
- * of which little is known is taken for one of its label, and that for an ordinary one.
+ * A speed is a weighted mean of the logarithm of run time over estimate, so that twice as slow and twice as fast weigh alike.
+ * An executor with few runs is expected to be like others with its label, and a label with few runs to be ordinary.
  */
 
-/** What runs have told of one executor, or of all with one label. */
+/** The speed of one executor, or of all executors with one label. */
 export interface Speed {
 	/** The mean of the logarithm of run time over estimate. */
 	readonly mean: number
-	/** The runs that it rests on; what is older than the most that count has faded. */
+	/** How many runs the mean is based on, up to a maximum. */
 	readonly weight: number
-	/** Runs of late that were too long (above 0) or too short (below 0) for what was known; each ordinary run takes one away. */
+	/** Recent outliers: positive for runs that were too long, negative for too short ones; each ordinary run takes one away. */
 	readonly outliers: number
 }
 
-/** Beyond two and a half times what is expected a run is a tail, or a change: both are more than estimates are off by. */
-const ODD_LOG = 0.9
-/** So many odd runs with hardly an ordinary one between them are no tails any more. */
-const CHANGED_RUNS = 3
-/** The new speed begins with the last of them alone. */
+/** The deviation, as a logarithm, beyond which a run is an outlier: two and a half times the expected. */
+const OUTLIER_LOG = 0.9
+/** Outliers in a row that show a changed speed. */
+const CHANGE_OUTLIERS = 3
+/** A changed speed is based on the latest run only. */
 const CHANGED_WEIGHT = 1
-/** A speed rests on so many runs at most, so that it follows a drift; single runs then move it by a twentieth. */
+/** Bounded so that a speed follows a drift. */
 const MAX_WEIGHT = 20
-/** That of a label rests on runs of many executors. */
+/** Higher, since a label has the runs of many executors. */
 const MAX_LABEL_WEIGHT = 60
-/** What is known of a label counts as much as so many runs: executors of a label differ by as much as single runs do. */
-const LABEL_RUNS = 1
-/** And so many runs speak for an ordinary speed while nothing is known of a label. */
-const ORDINARY_RUNS = 4
-/** No executor is so many times as fast or slow as its estimates say. */
+/** The weight of a label's speed as a prior for its executors, in runs. */
+const LABEL_PRIOR_RUNS = 1
+/** The weight of an ordinary speed as a prior for labels, in runs. */
+const ORDINARY_PRIOR_RUNS = 4
+/** Bounds the ratio of run time over estimate, and its inverse. */
 export const MAX_SPEED_RATIO = 32
 
-const NOTHING: Speed = {mean: 0, weight: 0, outliers: 0}
+const UNKNOWN_SPEED: Speed = {mean: 0, weight: 0, outliers: 0}
 
-const clamp = (value: number, least: number, most: number) => Math.min(most, Math.max(least, value))
+const clamp = (value: number, min: number, max: number) => Math.min(max, Math.max(min, value))
 
-/** What is expected of an executor with a label, as a logarithm, before it has run anything. */
-export function expectedOf(label: Speed = NOTHING): number {
-	return (label.mean * label.weight) / (label.weight + ORDINARY_RUNS)
+/** The expected speed of an executor with a label, as a logarithm, before its first run. */
+export function priorLog(label: Speed = UNKNOWN_SPEED): number {
+	return (label.mean * label.weight) / (label.weight + ORDINARY_PRIOR_RUNS)
 }
 
-function expectedLog({mean, weight}: Speed, expected: number): number {
-	return (mean * weight + expected * LABEL_RUNS) / (weight + LABEL_RUNS)
+function shrunkLog({mean, weight}: Speed, expected: number): number {
+	return (mean * weight + expected * LABEL_PRIOR_RUNS) / (weight + LABEL_PRIOR_RUNS)
 }
 
-/** How many times its estimates a run takes there. */
-export function slownessOf(speed: Speed = NOTHING, expected = 0): number {
-	return Math.exp(expectedLog(speed, expected))
+/** The expected run time over the estimate. */
+export function slownessOf(speed: Speed = UNKNOWN_SPEED, expected = 0): number {
+	return Math.exp(shrunkLog(speed, expected))
 }
 
 const logOf = (slowness: number) => Math.log(clamp(slowness, 1 / MAX_SPEED_RATIO, MAX_SPEED_RATIO))
 
-function step(speed: Speed, log: number, maxWeight: number, odd: number): Speed {
+function addRun(speed: Speed, log: number, maxWeight: number, outliers: number): Speed {
 	const weight = Math.min(maxWeight, speed.weight + 1)
-	return {mean: speed.mean + (log - speed.mean) / weight, weight, outliers: odd}
+	return {mean: speed.mean + (log - speed.mean) / weight, weight, outliers}
 }
 
-/** Takes in that a run took `slowness` times its estimate on an executor. */
-export function learnRun(speed: Speed = NOTHING, expected: number, slowness: number): Speed {
+/** The speed of an executor after a run that took `slowness` times its estimate. */
+export function learnRun(speed: Speed = UNKNOWN_SPEED, expected: number, slowness: number): Speed {
 	const log = logOf(slowness)
-	const known = expectedLog(speed, expected)
-	const off = log - known
-	if (Math.abs(off) <= ODD_LOG)
-		return step(speed, log, MAX_WEIGHT, speed.outliers - Math.sign(speed.outliers))
-	const side = Math.sign(off)
-	const odd = Math.sign(speed.outliers) === side ? speed.outliers + side : side
-	if (Math.abs(odd) >= CHANGED_RUNS) return {mean: log, weight: CHANGED_WEIGHT, outliers: 0}
-	return step(speed, known + side * ODD_LOG, MAX_WEIGHT, odd)
+	const known = shrunkLog(speed, expected)
+	const deviation = log - known
+	if (Math.abs(deviation) <= OUTLIER_LOG)
+		return addRun(speed, log, MAX_WEIGHT, speed.outliers - Math.sign(speed.outliers))
+	const side = Math.sign(deviation)
+	const outliers = Math.sign(speed.outliers) === side ? speed.outliers + side : side
+	if (Math.abs(outliers) >= CHANGE_OUTLIERS) return {mean: log, weight: CHANGED_WEIGHT, outliers: 0}
+	return addRun(speed, known + side * OUTLIER_LOG, MAX_WEIGHT, outliers)
 }
 
-/** Takes in a run on any executor with a label; these differ, so no run among them is a change. */
-export function learnLabelRun(label: Speed = NOTHING, slowness: number): Speed {
+/** The speed of a label after a run; executors with a label differ, so a label has no changes of speed. */
+export function learnLabelRun(label: Speed = UNKNOWN_SPEED, slowness: number): Speed {
 	const log = logOf(slowness)
-	const near = clamp(log, label.mean - ODD_LOG, label.mean + ODD_LOG)
-	return step(label, near, MAX_LABEL_WEIGHT, 0)
+	const near = clamp(log, label.mean - OUTLIER_LOG, label.mean + OUTLIER_LOG)
+	return addRun(label, near, MAX_LABEL_WEIGHT, 0)
 }
 
-/** Joins what two placers have learnt of one executor; the second is what is seen now. */
-export function mergeSpeeds(before: Speed, {mean, weight, outliers: odd}: Speed): Speed {
+/** Merges the speeds of one executor learnt by an earlier placer and by this one. */
+export function mergeSpeeds(before: Speed, {mean, weight, outliers}: Speed): Speed {
 	const sum = before.weight + weight
-	if (sum === 0) return NOTHING
+	if (sum === 0) return UNKNOWN_SPEED
 	return {
 		mean: (before.mean * before.weight + mean * weight) / sum,
 		weight: Math.min(MAX_WEIGHT, sum),
-		outliers: odd,
+		outliers,
 	}
 }
 
-/** A run is not over though it has run for so many times what is expected there: its progress tells more than its end would. */
-const OVERDUE_TIMES = 1.5
+/** The run time, relative to the expected, from which a run's progress shows its speed. */
+const OVERDUE_RATIO = 1.5
 
-/** Whether a run that goes on after so many of its estimates should be judged by its progress now. */
+/** Whether a run's speed should be taken from its progress, after it has run for `ranEstimates` times its estimate. */
 export const isOverdue = (ranEstimates: number, known: number) =>
-	ranEstimates > known * OVERDUE_TIMES
+	ranEstimates > known * OVERDUE_RATIO
 
-/** A run's slowness without what a single tail adds to it: to judge an executor's health by. */
-export function withoutTail(
+/** A run's slowness for the executor's health: a single outlier is capped. */
+export function capOutlier(
 	slowness: number,
 	known: number,
-	{outliers: odd}: Speed = NOTHING,
+	{outliers}: Speed = UNKNOWN_SPEED,
 ): number {
-	const isChanging = odd >= CHANGED_RUNS - 1
-	return isChanging ? slowness : Math.min(slowness, known * Math.exp(ODD_LOG))
+	const isChanging = outliers >= CHANGE_OUTLIERS - 1
+	return isChanging ? slowness : Math.min(slowness, known * Math.exp(OUTLIER_LOG))
 }
--- a/packages/jobs/src/place/gang.ts
+++ b/packages/jobs/src/place/gang.ts
@@ -1,28 +1,26 @@
-/**
- * Room for tasks that work only together: a place for every member, or none.
- */
+/** Gang scheduling: chooses executors for all members of a gang, or for none. */
 import type {ExecutorLink} from "../link/executor-link.js"
-import type {Judgement} from "./judgement.js"
+import type {ExecutorAssessment} from "./executor-assessment.js"
 import type {TaskRequest} from "./run.js"
 import {chooseExecutor} from "../decide/selection.js"
 import {stepNameOf, type WaitingTask} from "./task-queue.js"
 
 type Links = ReadonlyMap<string, ExecutorLink>
 
-/** An executor for each member, in their order; undefined unless all of them fit at once. */
+/** An executor for each member, in order; undefined unless all members fit at once. */
 export function chooseGang(
 	links: Links,
 	members: readonly WaitingTask[],
-	judgement: Judgement,
+	assessment: ExecutorAssessment,
 ): readonly ExecutorLink[] | undefined {
 	if (members[0]?.req.gang?.wantsOneRack) {
 		for (const rack of racksOf(links)) {
-			const near = new Map([...links].filter(([, link]) => link.record.rack === rack))
-			const places = chooseAll(near, members, judgement)
+			const inRack = new Map([...links].filter(([, link]) => link.record.rack === rack))
+			const places = chooseAll(inRack, members, assessment)
 			if (places) return places
 		}
 	}
-	return chooseAll(links, members, judgement)
+	return chooseAll(links, members, assessment)
 }
 
 function racksOf(links: Links): ReadonlySet<string> {
@@ -34,7 +32,7 @@
 function chooseAll(
 	links: Links,
 	members: readonly WaitingTask[],
-	{health, speeds}: Judgement,
+	{health, speeds}: ExecutorAssessment,
 ): readonly ExecutorLink[] | undefined {
 	const places: ExecutorLink[] = []
 	for (const {req} of members) {
@@ -47,18 +45,18 @@
 	return places.length === members.length ? places : undefined
 }
 
-/** Without the executors that would have more members than the step allows on one. */
+/** The executors that may take another member by the step's limit per executor. */
 function withinLimit(links: Links, places: readonly ExecutorLink[], req: TaskRequest): Links {
 	const {maxPerExecutor} = req
 	if (!maxPerExecutor) return links
 	const chosen = (link: ExecutorLink) => places.filter(place => place === link).length
-	const isOpen = (link: ExecutorLink) =>
+	const isBelowLimit = (link: ExecutorLink) =>
 		link.countOf(stepNameOf(req.task)) + chosen(link) < maxPerExecutor
-	return new Map([...links].filter(([, link]) => isOpen(link)))
+	return new Map([...links].filter(([, link]) => isBelowLimit(link)))
 }
 
-/** Whether the executors, if nothing ran there, could take the whole gang. */
-export function wouldFitEmpty(links: Links, req: TaskRequest, size: number): boolean {
+/** Whether the whole gang would fit if the executors were idle. */
+export function wouldFitIdle(links: Links, req: TaskRequest, size: number): boolean {
 	let fits = 0
 	for (const link of links.values()) {
 		const {capacity, service} = link.record
--- a/packages/jobs/src/place/persistent-speeds.ts
+++ b/packages/jobs/src/place/persistent-speeds.ts
@@ -1,72 +1,70 @@
-/**
- * How fast a placer's executors are, as state of the fleet: learnt by executor and by label, told to successors.
- */
+/** Executor speeds that outlast a placer: learnt by executor and by label, and passed on to successors through the store. */
 import {
-	expectedOf,
+	priorLog,
 	isOverdue,
 	learnLabelRun,
 	learnRun,
 	mergeSpeeds,
 	slownessOf,
-	withoutTail,
+	capOutlier,
 	type Speed,
 } from "../decide/speeds.js"
 import {speedCost} from "../decide/speed-cost.js"
 import type {Speeds} from "./executor-speeds.js"
 
-/** What is known, by executor and by label. */
+/** Learnt speeds, by executor id and by label. */
 export interface KnownSpeeds {
 	readonly executors: ReadonlyMap<string, Speed>
 	readonly labels: ReadonlyMap<string, Speed>
 }
 
-export interface SpeedFigures {
-	/** Executors of which a run is known. */
+export interface SpeedStats {
+	/** Executors with a learnt speed. */
 	readonly known: number
-	/** The slowest of them over the fastest; 1 while fewer than two are known. */
+	/** The slowest of them over the fastest; 1 with fewer than two. */
 	readonly spread: number
 }
 
 export interface PersistentSpeeds extends Speeds {
-	/** What is worth telling: of the executors that are here, or may be any moment. */
+	/** The speeds to pass on: of the executors here, and of inherited ones that may still appear. */
 	known(): KnownSpeeds
-	/** Takes over what a placer before has learnt; what was learnt here meanwhile is joined with it. */
+	/** Merges the speeds that an earlier placer learnt into those learnt here. */
 	merge(known: KnownSpeeds): void
-	/** Forgets what was told of executors that are not here; returns how many there were. */
+	/** Drops inherited speeds of executors that have not appeared here; returns their number. */
 	dropUnseen(): number
-	stats(): SpeedFigures
+	stats(): SpeedStats
 }
 
 interface Entry {
 	readonly label: string | undefined
 	speed: Speed | undefined
-	/** Kept at hand: it is read for each start and executor. */
+	/** Cached, since it is read for each start and executor. */
 	slowness: number
 }
 
 export function createPersistentSpeeds(now: () => number): PersistentSpeeds {
 	const entries = new Map<string, Entry>()
 	const labels = new Map<string, Speed>()
-	/** What was told of executors that have not been met here yet. */
-	const told = new Map<string, Speed>()
+	/** Inherited speeds of executors that have not appeared here yet. */
+	const inherited = new Map<string, Speed>()
 
-	const expectedFor = ({label}: Entry) => (label === undefined ? 0 : expectedOf(labels.get(label)))
+	const expectedFor = ({label}: Entry) => (label === undefined ? 0 : priorLog(labels.get(label)))
 
 	function setSpeed(entry: Entry, speed: Speed) {
 		entry.speed = speed
 		entry.slowness = slownessOf(speed, expectedFor(entry))
 	}
 
-	function takeTold(id: string, entry: Entry) {
-		const before = told.get(id)
-		if (!told.delete(id) || !before) return
+	function mergeInherited(id: string, entry: Entry) {
+		const before = inherited.get(id)
+		if (!inherited.delete(id) || !before) return
 		setSpeed(entry, entry.speed ? mergeSpeeds(before, entry.speed) : before)
 	}
 
-	function factorOf(executor: string): number {
+	function expectedSlowness(executor: string): number {
 		const entry = entries.get(executor)
 		if (!entry) return 1
-		// What is expected by its label alone changes with others' runs.
+		// Without runs of its own the value follows its label's, so it is not cached.
 		return entry.speed ? entry.slowness : slownessOf(undefined, expectedFor(entry))
 	}
 
@@ -75,7 +73,7 @@
 			if (entries.has(id)) return
 			const entry: Entry = {label, speed: undefined, slowness: 1}
 			entries.set(id, entry)
-			takeTold(id, entry)
+			mergeInherited(id, entry)
 		},
 		observe(executor, slowness) {
 			const entry = entries.get(executor)
@@ -84,15 +82,15 @@
 			const {label} = entry
 			if (label !== undefined) labels.set(label, learnLabelRun(labels.get(label), slowness))
 		},
-		isOverdue: (executor, ranEstimates) => isOverdue(ranEstimates, factorOf(executor)),
-		judged: (executor, slowness) =>
-			withoutTail(slowness, factorOf(executor), entries.get(executor)?.speed),
-		costOf: (executor, req) => speedCost(factorOf(executor), req, now()),
-		expectedSlowness: factorOf,
+		isOverdue: (executor, ranEstimates) => isOverdue(ranEstimates, expectedSlowness(executor)),
+		cappedSlowness: (executor, slowness) =>
+			capOutlier(slowness, expectedSlowness(executor), entries.get(executor)?.speed),
+		costOf: (executor, req) => speedCost(expectedSlowness(executor), req, now()),
+		expectedSlowness,
 		forget: executor => void entries.delete(executor),
 		known() {
-			// What was told of executors that are not listed yet would be lost with this placer.
-			const executors = new Map(told)
+			// Otherwise speeds of executors that are not listed yet would be lost with this placer.
+			const executors = new Map(inherited)
 			for (const [id, {speed}] of entries) if (speed) executors.set(id, speed)
 			return {executors, labels}
 		},
@@ -103,27 +101,27 @@
 					mergeSpeeds(speed, labels.get(label) ?? {mean: 0, weight: 0, outliers: 0}),
 				)
 			for (const [id, speed] of known.executors) {
-				told.set(id, speed)
+				inherited.set(id, speed)
 				const entry = entries.get(id)
-				if (entry) takeTold(id, entry)
+				if (entry) mergeInherited(id, entry)
 			}
 		},
 		dropUnseen() {
-			const count = told.size
-			told.clear()
+			const count = inherited.size
+			inherited.clear()
 			return count
 		},
 		stats() {
 			let known = 0
-			let least = Infinity
-			let most = 0
+			let min = Infinity
+			let max = 0
 			for (const {speed, slowness} of entries.values()) {
 				if (!speed) continue
 				known++
-				least = Math.min(least, slowness)
-				most = Math.max(most, slowness)
+				min = Math.min(min, slowness)
+				max = Math.max(max, slowness)
 			}
-			return {known, spread: known > 1 ? most / least : 1}
+			return {known, spread: known > 1 ? max / min : 1}
 		},
 	}
 }
--- a/packages/jobs/src/place/placer-links.ts
+++ b/packages/jobs/src/place/placer-links.ts
@@ -1,19 +1,17 @@
-/**
- * The executors that a placer has links to: those of the list, and others for as long as something may run there.
- */
+/** A placer's links to executors: the listed ones, and others while a run may be there. */
 import type {ExecutorRecord} from "../types/executor.js"
 import {createExecutorLink, type ExecutorLink} from "../link/executor-link.js"
 import type {PlacerState} from "./placer-state.js"
-import {walkSoon} from "./walk.js"
+import {schedulePass} from "./scheduling-pass.js"
 
-/** Starts nothing more; what runs is left to the next fence. */
+/** Starts nothing more; the runs are left to the next placer. */
 export function closeLinks(state: PlacerState) {
 	state.isClosed = true
-	state.pulse.close()
+	state.stallDetector.close()
 	for (const link of state.links.values()) link.close()
 }
 
-/** Takes over the list. */
+/** Replaces the list of executors. */
 export function setExecutors(state: PlacerState, records: readonly ExecutorRecord[]) {
 	const listed = new Set(records.map(record => record.id))
 	for (const record of records) {
@@ -22,13 +20,13 @@
 		else link.update(record)
 	}
 	for (const [id, link] of state.links) if (!listed.has(id)) retireLink(state, id, link)
-	walkSoon(state)
+	schedulePass(state)
 }
 
 export function addLink(state: PlacerState, record: ExecutorRecord): ExecutorLink {
 	const {clock, orders, log, metrics, fence, leaseRule, stopGraceMs, onFenced, isEvacuated} =
 		state.deps
-	const {speeds} = state.judgement
+	const {speeds} = state.assessment
 	speeds.add(record)
 	const orphansWaitUntil = state.createdAt + state.deps.orphansWaitMs
 	const link = createExecutorLink(record, {
@@ -45,15 +43,15 @@
 		tickets: state.tickets,
 		losses: state.losses,
 		runCounts: state.runCounts,
-		onRoom: () => walkSoon(state),
+		onRoom: () => schedulePass(state),
 		onFenced,
-		onRunEnd: state.judgement.observe,
-		onProgress: state.judgement.noteProgress,
+		onRunEnd: state.assessment.observe,
+		onProgress: state.assessment.noteProgress,
 		slownessOf: speeds.expectedSlowness,
 	})
 	state.links.set(record.id, link)
 	const fields = {executor: record.id, address: record.address, freeCpu: record.capacity.cpu}
-	log.event("placer", "executor_added", "placer: has a new executor.", fields)
+	log.event("placer", "executor_added", "placer: an executor was added.", fields)
 	return link
 }
 
@@ -62,7 +60,7 @@
 	if (!link.isIdle()) return
 	link.close()
 	state.links.delete(id)
-	state.judgement.forget(id)
+	state.assessment.forget(id)
 	const fields = {executor: id, failureDomain: state.deps.failureDomain}
-	state.deps.log.event("placer", "executor_dropped", "placer: the list has it no more.", fields)
+	state.deps.log.event("placer", "executor_dropped", "placer: an executor left the list.", fields)
 }
--- a/packages/jobs/src/place/placer.ts
+++ b/packages/jobs/src/place/placer.ts
@@ -1,88 +1,91 @@
 /**
- * The placer of a failure domain: it alone starts tasks on that domain's executors.
+ * The placer of a failure domain, the only one that starts tasks on the domain's executors.
  *
- * Tasks wait in one queue. Whenever room may have appeared the queue is walked in order; a task that
- * fits nowhere here may go to another domain's placer that has room, and blocks nobody behind it.
+ * Tasks wait in one queue. Whenever room may have appeared, a pass goes through the queue in order. A task that does not fit may
+ * be handed over to another domain's placer, and does not block those behind it.
  */
 import type {ExecutorRecord} from "../types/executor.js"
 import type {Room} from "../types/fleet.js"
 import type {Step} from "../types/job.js"
 import type {ExecutorLink} from "../link/executor-link.js"
-import {createJudgement} from "./judgement.js"
+import {createAssessment} from "./executor-assessment.js"
 import {createLossDetector} from "../link/loss-detector.js"
 import type {PlacerDeps, PlacerState, RunLocation} from "./placer-state.js"
 import {closeLinks, setExecutors} from "./placer-links.js"
-import {startPulse} from "./pulse.js"
+import {startStallDetector} from "./stall-detector.js"
 import {loadOf, type PlacerLoad} from "../decide/load.js"
-import {countThatFit, hasPromising, roomFor, usableLinks, waitBeforeMs} from "../decide/room.js"
+import {
+	countThatFit,
+	hasSoonUsable,
+	reportedRoom,
+	usableLinks,
+	waitBeforeMs,
+} from "../decide/room.js"
 import type {OnTaskEnd, TaskHandle, TaskRequest} from "./run.js"
-import {adopt, giveAll, giveExecutors, giveUp, isSettled} from "./succession.js"
+import {adopt, handOverAll, handOverExecutors, relinquish, hasTakenOver} from "./succession.js"
 import {createTaskQueue, type WaitingTask} from "./task-queue.js"
 import {createTickets} from "./tickets.js"
-import {walkSoon} from "./walk.js"
+import {schedulePass} from "./scheduling-pass.js"
 
-/** A task from another placer that found no room is given back after this. */
+/** When a task from another placer is returned if it found no room. */
 const FOREIGN_WAIT_MS = 40
-/** The list has been read and executors have answered by then, also in a process that has just started. */
-const BEGINNING_MS = 400
-/** Deadlines are looked at this often. */
-const SWEEP_MS = 25
+/** By then the list was read and executors have answered, even in a process that has just started. */
+const STARTUP_MS = 400
+/** The interval of deadline checks. */
+const DEADLINE_CHECK_MS = 25
 
 export interface Placer {
 	submit(req: TaskRequest, onEnd: OnTaskEnd, onStart: () => void): TaskHandle
-	/** Takes over the platform's list of this domain's executors. */
+	/** Replaces the list of this domain's executors. */
 	setExecutors(records: readonly ExecutorRecord[]): void
-	/** Its executors; those that the list has dropped count as leaving. */
+	/** The linked executors; those no longer listed are marked as leaving. */
 	executors(): readonly ExecutorRecord[]
 	room(): Room
 	counts(): PlacerCounts
-	/** Whether any executor is, or will soon be, usable. */
+	/** Whether any executor is usable, or will be soon. */
 	canServe(): boolean
-	/** Whether it has only just begun, and no executor has answered yet. */
+	/** Whether the placer was created just now and no executor has answered yet. */
 	isStartingUp(): boolean
-	/** Whether every executor obeys this placer, or has certainly ended what the one before started. */
+	/** Whether every executor obeys this placer, or has certainly ended the previous placer's runs. */
 	hasTakenOver(): boolean
 	/**
-	 * How long a task with this latest useful start will wait at the pace of the estimates, in
-	 * milliseconds; Infinity without an executor that is or will soon be usable.
+	 * The expected wait of a task with this latest useful start by the estimates, in milliseconds; Infinity if no executor is
+	 * usable, or will be soon.
 	 */
 	expectedWaitMs(startBy: number): number
-	/** What its executors carry; a walk over all that runs. */
+	/** The load of its executors; iterates over all runs. */
 	load(): PlacerLoad
-	/** Core-milliseconds that wait. */
+	/** Core-milliseconds of waiting work. */
 	work(): number
-	/** Core-milliseconds that wait and go before a task with this latest useful start. */
+	/** Core-milliseconds of work queued ahead of a task with this latest useful start. */
 	workBefore(startBy: number): number
-	/** Whether all tasks of a step could start now, whatever waits for more room than that. */
+	/** Whether all tasks of a step could start now, regardless of the queue. */
 	hasRoomFor(step: Step, service: string): boolean
-	/** Offers what executors have listed so far to the kept jobs, which are known from now on. */
+	/** Offers the unknown runs listed by executors to the kept jobs, once these have been loaded. */
 	offerOrphans(): void
-	/** Tries the queue again soon: room may have appeared elsewhere. */
+	/** Schedules a pass over the queue, since room may have appeared elsewhere. */
 	placeWaiting(): void
-	/** Nothing further may start here from now on, or it may again. */
+	/** Called when an evacuation of the domain begins or ends. */
 	noteEvacuation(): void
-	/** Takes over a run that the placer before had on an executor. */
+	/** Takes over a run that the previous placer had on an executor. */
 	adopt(
 		req: TaskRequest,
 		from: {readonly executor: string; readonly isStarted: boolean},
 		onEnd: OnTaskEnd,
 	): TaskHandle
 	/**
-	 * Gives everything to a successor, which has raised the fence already: `send` takes what waits, and
-	 * what runs with the executor that has it. What is submitted later goes there too.
+	 * Transfers all tasks to a successor, which has raised the fence already: `send` receives waiting tasks, running tasks with
+	 * their executor, and tasks submitted later.
 	 */
 	handOverAll(send: (item: WaitingTask, from?: RunLocation) => void): void
-	/**
-	 * Gives some of its executors to another placer, which has raised the fence there: what runs there goes along. Returns
-	 * how many they were.
-	 */
+	/** Transfers executors with their runs to another placer, which has raised the fence there already. Returns their number. */
 	handOverExecutors(
-		isGiven: (record: ExecutorRecord) => boolean,
+		isHandedOver: (record: ExecutorRecord) => boolean,
 		send: (item: WaitingTask, from: RunLocation) => void,
 	): number
-	/** As `close`, when somebody else places now: tells those that handed tasks over as soon as it is certain that they run no more. */
+	/** As `close`, after another placer took over: reports handed-over tasks as lost once their runs have certainly ended. */
 	relinquish(): void
-	/** Starts nothing more here; what runs is left to the next fence. */
+	/** Starts nothing more; the runs are left to the next placer. */
 	close(): void
 }
 
@@ -98,30 +101,30 @@
 		createdAt: deps.clock.now(),
 		queue: createTaskQueue(),
 		links: new Map(),
-		judgement: createJudgement(deps),
+		assessment: createAssessment(deps),
 		losses: createLossDetector(deps.clock),
-		tickets: createTickets({...deps, onTickets: () => walkSoon(state)}),
-		pulse: startPulse(deps.clock),
+		tickets: createTickets({...deps, onTickets: () => schedulePass(state)}),
+		stallDetector: startStallDetector(deps.clock),
 		runCounts: new Map(),
 		started: new Map(),
 		successor: undefined,
-		isWalkDue: false,
-		isHeldBack: false,
-		isSweepDue: false,
+		isPassDue: false,
+		awaitsConfirmation: false,
+		isDeadlineCheckDue: false,
 		isClosed: false,
 	}
 	return {
 		submit: (req, onEnd, onStart) => submit(state, req, onEnd, onStart),
 		setExecutors: records => setExecutors(state, records),
 		executors: () => [...state.links.values()].filter(link => !link.isClosed()).map(recordOf),
-		room: () => roomFor(state.links, state.queue, state.judgement),
+		room: () => reportedRoom(state.links, state.queue, state.assessment),
 		counts: () => countsOf(state),
-		canServe: () => hasPromising(state.links),
-		isStartingUp: () => isBeginning(state),
-		hasTakenOver: () => isSettled(state),
+		canServe: () => hasSoonUsable(state.links),
+		isStartingUp: () => isStartingUp(state),
+		hasTakenOver: () => hasTakenOver(state),
 		expectedWaitMs: startBy =>
-			waitBeforeMs(state.links, state.queue, state.judgement.speeds, startBy, deps.clock.now()),
-		load: () => loadOf(state.links, state.started.keys(), state.judgement),
+			waitBeforeMs(state.links, state.queue, state.assessment.speeds, startBy, deps.clock.now()),
+		load: () => loadOf(state.links, state.started.keys(), state.assessment),
 		work: () => state.queue.work(),
 		workBefore: startBy => state.queue.workBefore(startBy, deps.clock.now()),
 		hasRoomFor: (step, service) => hasRoomFor(state, step, service),
@@ -129,16 +132,16 @@
 			for (const link of state.links.values()) if (!link.isClosed()) link.offerOrphans()
 		},
 		placeWaiting() {
-			if (state.queue.size() > 0) walkSoon(state)
+			if (state.queue.size() > 0) schedulePass(state)
 		},
 		noteEvacuation() {
-			returnForeign(state)
-			walkSoon(state)
+			returnForeignTasks(state)
+			schedulePass(state)
 		},
 		adopt: (req, from, onEnd) => adopt(state, req, from, onEnd),
-		handOverAll: send => giveAll(state, send),
-		handOverExecutors: (isGiven, send) => giveExecutors(state, isGiven, send),
-		relinquish: () => giveUp(state),
+		handOverAll: send => handOverAll(state, send),
+		handOverExecutors: (isHandedOver, send) => handOverExecutors(state, isHandedOver, send),
+		relinquish: () => relinquish(state),
 		close: () => closeLinks(state),
 	}
 }
@@ -177,46 +180,46 @@
 		return handle
 	}
 	state.queue.push(item)
-	sweepSoon(state)
-	if (req.isForeign) clock.schedule(FOREIGN_WAIT_MS, () => giveBack(state, item, "no room"))
-	if (state.deps.isEvacuated()) clock.schedule(0, () => returnForeign(state))
-	walkSoon(state)
+	scheduleDeadlineCheck(state)
+	if (req.isForeign) clock.schedule(FOREIGN_WAIT_MS, () => returnTask(state, item, "no room"))
+	if (state.deps.isEvacuated()) clock.schedule(0, () => returnForeignTasks(state))
+	schedulePass(state)
 	return handle
 }
 
-/** What other placers handed over finds nothing here while the domain is emptied, and goes elsewhere at once. */
-function returnForeign(state: PlacerState) {
+/** Returns the tasks of other placers at once while the domain is evacuated. */
+function returnForeignTasks(state: PlacerState) {
 	if (!state.deps.isEvacuated()) return
-	for (const item of state.queue.all()) if (item.req.isForeign) giveBack(state, item, "evacuated")
+	for (const item of state.queue.all()) if (item.req.isForeign) returnTask(state, item, "evacuated")
 }
 
-function giveBack({queue}: PlacerState, item: WaitingTask, cause: string) {
+function returnTask({queue}: PlacerState, item: WaitingTask, cause: string) {
 	if (queue.remove(item)) item.onEnd({type: "returned", cause})
 }
 
-/** Looks at deadlines for as long as something waits. */
-function sweepSoon(state: PlacerState) {
-	if (state.isSweepDue || state.isClosed || state.queue.size() === 0) return
-	state.isSweepDue = true
-	state.deps.clock.schedule(SWEEP_MS, () => {
-		state.isSweepDue = false
+/** Checks deadlines while a task waits. */
+function scheduleDeadlineCheck(state: PlacerState) {
+	if (state.isDeadlineCheckDue || state.isClosed || state.queue.size() === 0) return
+	state.isDeadlineCheckDue = true
+	state.deps.clock.schedule(DEADLINE_CHECK_MS, () => {
+		state.isDeadlineCheckDue = false
 		for (const item of state.queue.expired(state.deps.clock.now()))
-			giveBack(state, item, "deadline")
-		if (state.isHeldBack) walkSoon(state)
-		sweepSoon(state)
+			returnTask(state, item, "deadline")
+		if (state.awaitsConfirmation) schedulePass(state)
+		scheduleDeadlineCheck(state)
 	})
 }
 
-function isBeginning({links, deps, createdAt}: PlacerState): boolean {
-	if (deps.clock.now() - createdAt >= BEGINNING_MS) return false
+function isStartingUp({links, deps, createdAt}: PlacerState): boolean {
+	if (deps.clock.now() - createdAt >= STARTUP_MS) return false
 	return [...links.values()].every(link => !link.isFenceTaken())
 }
 
-function hasRoomFor({links, judgement}: PlacerState, step: Step, service: string): boolean {
-	const open = usableLinks(links).filter(
-		({record}) => record.service === service && judgement.health.isUsable(record.id),
+function hasRoomFor({links, assessment}: PlacerState, step: Step, service: string): boolean {
+	const available = usableLinks(links).filter(
+		({record}) => record.service === service && assessment.health.isUsable(record.id),
 	)
-	return countThatFit(open, step) >= step.count
+	return countThatFit(available, step) >= step.count
 }
 
 function countsOf({queue, links}: PlacerState): PlacerCounts {
--- a/packages/jobs/src/place/walk.ts
+++ b/packages/jobs/src/place/scheduling-pass.ts
@@ -1,72 +1,75 @@
-/**
- * Walks a placer's queue in order and starts what finds room, here or at another domain's placer.
- */
+/** A scheduling pass of a placer: goes through the queue in order, and starts or hands over each task that finds room. */
 import {shortSession} from "../utils/log.js"
 import type {ExecutorLink} from "../link/executor-link.js"
-import {chooseGang, wouldFitEmpty} from "./gang.js"
+import {chooseGang, wouldFitIdle} from "./gang.js"
 import type {Links, PlacerState} from "./placer-state.js"
 import type {TaskRequest} from "./run.js"
 import {chooseExecutor} from "../decide/selection.js"
-import {stepNameOf, type Group, type WaitingTask} from "./task-queue.js"
+import {stepNameOf, type TaskGroup, type WaitingTask} from "./task-queue.js"
 
-/** Groups that are tried in one walk; what stands further behind finds no room either as a rule. */
-const MAX_GROUPS_PER_WALK = 24
-/** A gang that has waited so long for room for all its members gets what becomes free. */
+/** Groups tried in one pass; those behind rarely find room either. */
+const MAX_GROUPS_PER_PASS = 24
+/** After this wait a gang blocks the groups behind it, so that room for all its members accumulates. */
 const GANG_PATIENCE_MS = 400
-/** After a standstill the loop has read what lay in its connections by then: it goes round in a millisecond. */
-const NEWS_MS = 10
-/** Confirmations come every 100 ms. */
-const HEARD_LATE_MS = 200
+/** After a stall the event loop has read its sockets by then. */
+const SOCKET_READ_MS = 10
+/** Two intervals of confirmations. */
+const RECENT_CONFIRMATION_MS = 200
 
-/** Several ends in one turn of the loop need one walk. */
-export function walkSoon(state: PlacerState) {
-	if (state.isWalkDue) return
-	state.isWalkDue = true
-	setImmediate(() => walk(state))
+/** Schedules a pass, once for all events in a turn of the event loop. */
+export function schedulePass(state: PlacerState) {
+	if (state.isPassDue) return
+	state.isPassDue = true
+	setImmediate(() => runPass(state))
 }
 
-function walk(state: PlacerState) {
-	if (state.pulse.hasStoodStill()) state.deps.clock.schedule(NEWS_MS, () => placeAll(state))
+function runPass(state: PlacerState) {
+	if (state.stallDetector.hasStalled())
+		state.deps.clock.schedule(SOCKET_READ_MS, () => placeAll(state))
 	else placeAll(state)
 }
 
 function placeAll(state: PlacerState) {
-	state.isWalkDue = false
+	state.isPassDue = false
 	if (state.isClosed) return
-	state.isHeldBack = false
+	state.awaitsConfirmation = false
 	if (state.queue.size() > 0) placeInOrder(state)
 	state.deps.onRoomChange()
 }
 
 function placeInOrder(state: PlacerState) {
 	const groups = state.queue.inOrder(state.deps.clock.now())
-	const freest = createFreest(state.links)
-	for (const group of groups.slice(0, MAX_GROUPS_PER_WALK))
+	const freest = createFreestExecutor(state.links)
+	for (const group of groups.slice(0, MAX_GROUPS_PER_PASS))
 		if (placeGroup(state, group, freest) === "hold back") break
 }
 
-/** The executors that may run a group's step; where advice is needed and missing, it is asked for. */
-function allowedLinks({links, tickets}: PlacerState, {waiting}: Group): Links {
+/** The executors that may run a group's step; asks for missing tickets. */
+function allowedLinks({links, tickets}: PlacerState, {waiting}: TaskGroup): Links {
 	const req = waiting[0]?.req
 	if (!req?.advice) return links
 	const step = stepNameOf(req.task)
 	const allowed = new Map([...links].filter(([id]) => tickets.ticketOf(step, id) !== undefined))
 	const hasEnough = [...allowed.values()].some(link => link.isUsable() && link.hasRoom(req))
-	if (!hasEnough) tickets.want(step, askedFirst(links, req), req.advice)
+	if (!hasEnough) tickets.request(step, freestFirst(links, req), req.advice)
 	return allowed
 }
 
-/** The freest first: an executor that is full when its ticket comes is of no use. */
-function askedFirst(links: Links, {service}: TaskRequest): readonly string[] {
+/** The executors to ask tickets for, freest first, since they should still have room when the ticket arrives. */
+function freestFirst(links: Links, {service}: TaskRequest): readonly string[] {
 	return [...links.values()]
 		.filter(link => link.record.service === service && link.isUsable())
 		.sort((a, b) => b.freeCpu() - a.freeCpu())
 		.map(link => link.record.id)
 }
 
-/** Starts what it can of a group; `hold back` asks to leave the room to it that others would take. */
-function placeGroup(state: PlacerState, group: Group, freest: Freest): "hold back" | undefined {
-	const {queue, judgement, deps} = state
+/** Starts as many tasks of a group as possible; returns "hold back" to reserve the remaining room for the group. */
+function placeGroup(
+	state: PlacerState,
+	group: TaskGroup,
+	freest: FreestExecutor,
+): "hold back" | undefined {
+	const {queue, assessment, deps} = state
 	const links = allowedLinks(state, group)
 	if (group.waiting[0]?.req.gang) {
 		freest.noteStart()
@@ -75,16 +78,16 @@
 	for (;;) {
 		const next = group.waiting[0]
 		if (!next) return
-		// The same task may come anew while its run before is being stopped, and must not run beside it.
+		// A retried task must not run while its previous run is being stopped.
 		if (hasRunOf(state, next.req.task)) return
 		const mayFit = next.req.need.cpu <= freest.cpu()
-		const link = mayFit && chooseExecutor(links, next.req, judgement.health, judgement.speeds)
+		const link = mayFit && chooseExecutor(links, next.req, assessment.health, assessment.speeds)
 		if (link) {
 			queue.take(group)
 			startOn(state, link, next)
 			freest.noteStart()
 		} else {
-			state.isHeldBack ||= isHeardLate(state, next.req)
+			state.awaitsConfirmation ||= lacksConfirmation(state, next.req)
 			const staysHere = next.req.isForeign || next.req.isKept || next.req.advice
 			if (staysHere || !deps.handOver(next)) return
 			queue.take(group)
@@ -92,20 +95,20 @@
 	}
 }
 
-/** Whether its confirmation is older than two readings of the clock, so that a later one may make a difference. */
-function isHeardLate({deps}: PlacerState, {confirmedAt}: TaskRequest): boolean {
-	return deps.clock.now() - confirmedAt() > HEARD_LATE_MS
+/** Whether the task lacks a recent confirmation, so that the next one may allow its start. */
+function lacksConfirmation({deps}: PlacerState, {confirmedAt}: TaskRequest): boolean {
+	return deps.clock.now() - confirmedAt() > RECENT_CONFIRMATION_MS
 }
 
-/** The most room that one executor has, for as long as nothing starts. */
-interface Freest {
-	/** Thousandths of a core. */
+/** The largest free capacity of one executor, cached until a task starts. */
+interface FreestExecutor {
+	/** Millicores. */
 	cpu(): number
 	noteStart(): void
 }
 
-/** Most of what waits under load fits nowhere; this tells so without weighing each executor for each group. */
-function createFreest(links: Links): Freest {
+/** Under load most tasks fit nowhere; this detects it without comparing all executors for each group. */
+function createFreestExecutor(links: Links): FreestExecutor {
 	let known: number | undefined
 	return {
 		cpu: () => (known ??= freestCpu(links)),
@@ -116,9 +119,9 @@
 }
 
 function freestCpu(links: Links): number {
-	let most = 0
-	for (const link of links.values()) most = Math.max(most, link.freeCpu())
-	return most
+	let max = 0
+	for (const link of links.values()) max = Math.max(max, link.freeCpu())
+	return max
 }
 
 function hasRunOf({links, runCounts}: PlacerState, task: string): boolean {
@@ -127,17 +130,17 @@
 	return false
 }
 
-/** Starts a gang once there is room for all its members, and none of it before. */
-function placeGang(state: PlacerState, group: Group, links: Links): "hold back" | undefined {
-	const {queue, judgement, deps} = state
+/** Starts a gang if there is room for all its members. */
+function placeGang(state: PlacerState, group: TaskGroup, links: Links): "hold back" | undefined {
+	const {queue, assessment, deps} = state
 	const [first] = group.waiting
 	const gang = first?.req.gang
 	if (!first || !gang || group.waiting.length < gang.size) return undefined
 	const members = group.waiting.slice(0, gang.size)
-	const places = chooseGang(links, members, judgement)
+	const places = chooseGang(links, members, assessment)
 	if (!places) {
 		const isPatient = deps.clock.now() - first.since < GANG_PATIENCE_MS
-		return isPatient || !wouldFitEmpty(links, first.req, gang.size) ? undefined : "hold back"
+		return isPatient || !wouldFitIdle(links, first.req, gang.size) ? undefined : "hold back"
 	}
 	for (const link of places) {
 		const item = queue.take(group)
@@ -152,9 +155,9 @@
 	const waitedMs = clock.now() - item.since
 	const executor = link.record.id
 	metrics.observe("queue_wait_ms", waitedMs)
-	// What is tried again may still run where it was: such lines are never sampled.
+	// A retried task may still run elsewhere, so its line is never sampled.
 	const write = number > 1 ? log.alarm : log.event
-	write("placer", "task_started", "placer: starts a task.", () => ({
+	write("placer", "task_started", "placer: starting a task.", () => ({
 		job,
 		task,
 		run: number,
@@ -164,11 +167,11 @@
 		freeCpu: link.freeCpu(),
 		needCpu: need.cpu,
 		estimateMs,
-		slowness: Math.round(100 * state.judgement.speeds.expectedSlowness(executor)) / 100,
+		slowness: Math.round(100 * state.assessment.speeds.expectedSlowness(executor)) / 100,
 		waitedMs: Math.round(waitedMs),
 		waitingTasks: state.queue.size(),
 	}))
-	state.judgement.health.beginProbe(executor)
+	state.assessment.health.beginProbe(executor)
 	const run = link.start(item.req, end => {
 		state.started.delete(run)
 		return item.onEnd(end)
--- a/packages/jobs/src/place/task-queue.ts
+++ b/packages/jobs/src/place/task-queue.ts
@@ -1,8 +1,7 @@
 /**
- * What waits for room at a placer: tasks of one shape in groups, the most urgent group first.
+ * The queue of a placer: waiting tasks in groups, ordered by rank and then by latest useful start.
  *
- * A group is a step's tasks that need the same; when one does not fit the others do not either. Groups
- * go by rank, then by the latest start that is still useful.
+ * A group has the tasks of a job with the same requirements, so if one does not fit, neither do the others.
  */
 import type {OnTaskEnd, TaskRequest} from "./run.js"
 
@@ -15,34 +14,34 @@
 	readonly req: TaskRequest
 	readonly since: number
 	readonly onEnd: OnTaskEnd
-	/** Called when it is started, with the run; it is no longer in the queue. */
+	/** Called when the task is started and has left the queue, with a function that stops its run. */
 	readonly onStart: (stop: () => void) => void
 }
 
-export interface Group {
+export interface TaskGroup {
 	readonly key: string
 	readonly startBy: number
 	readonly waiting: WaitingTask[]
 	readonly uselessAt: number
-	/** Whether tasks of its job have started already. */
+	/** Whether tasks of the job have started. */
 	isBegun: boolean
 }
 
 export interface TaskQueue {
 	push(item: WaitingTask): void
-	/** Whether it was waiting here. */
+	/** Returns whether the task was in the queue. */
 	remove(item: WaitingTask): boolean
-	/** Groups in the order in which they should start. */
-	inOrder(now: number): readonly Group[]
-	/** Takes the first of a group out of the queue. */
-	take(group: Group): WaitingTask | undefined
+	/** The groups in the order in which they should start. */
+	inOrder(now: number): readonly TaskGroup[]
+	/** Removes and returns the first task of a group. */
+	take(group: TaskGroup): WaitingTask | undefined
 	all(): readonly WaitingTask[]
 	size(): number
-	/** Thousandths of a core that the smallest task asks for; Infinity while nothing waits. */
-	leastCpu(): number
-	/** Core-milliseconds that wait. */
+	/** Millicores of the smallest waiting task; Infinity if none waits. */
+	minCpu(): number
+	/** Core-milliseconds of waiting work. */
 	work(): number
-	/** Core-milliseconds that go before a task with this latest useful start. */
+	/** Core-milliseconds queued ahead of a task with this latest useful start. */
 	workBefore(startBy: number, now: number): number
 	expired(now: number): readonly WaitingTask[]
 }
@@ -63,22 +62,19 @@
 	return [job, ...shape].join("|")
 }
 
-function newGroup(key: string, {startBy, uselessAt, isBegun}: TaskRequest): Group {
+function newGroup(key: string, {startBy, uselessAt, isBegun}: TaskRequest): TaskGroup {
 	return {key, startBy, uselessAt, waiting: [], isBegun}
 }
 
-/**
- * Begun work goes first, since what was done for it is lost with it; then what can be in time, then
- * what is late, and last what is too late to be of use.
- */
-function rankOf({isBegun, startBy, uselessAt}: Group, now: number): number {
+/** Begun jobs first, since their finished work would be lost with them; then jobs in time, late jobs, and useless ones. */
+function rankOf({isBegun, startBy, uselessAt}: TaskGroup, now: number): number {
 	if (now >= uselessAt) return 3
 	if (isBegun) return 0
 	return startBy < now ? 2 : 1
 }
 
 export function createTaskQueue(): TaskQueue {
-	const groups = new Map<string, Group>()
+	const groups = new Map<string, TaskGroup>()
 	let size = 0
 	let work = 0
 
@@ -119,7 +115,7 @@
 		},
 		all: () => [...groups.values()].flatMap(({waiting}) => waiting),
 		size: () => size,
-		leastCpu() {
+		minCpu() {
 			let least = Infinity
 			for (const {waiting} of groups.values())
 				least = Math.min(least, waiting[0]?.req.need.cpu ?? Infinity)
@@ -135,10 +131,10 @@
 			return before
 		},
 		expired(now) {
-			const gone: WaitingTask[] = []
+			const expired: WaitingTask[] = []
 			for (const group of groups.values())
-				for (const item of group.waiting) if (item.req.deadlineAt <= now) gone.push(item)
-			return gone
+				for (const item of group.waiting) if (item.req.deadlineAt <= now) expired.push(item)
+			return expired
 		},
 	}
 }
--- a/packages/jobs/src/place/tickets.ts
+++ b/packages/jobs/src/place/tickets.ts
@@ -1,8 +1,8 @@
 /**
- * Tickets that let executors run the steps of queues with advice.
+ * Tickets from the advisor, which allow executors to run a step of a queue with advice.
  *
- * Asking takes long and is done one call at a time for each instance, so a step is asked for once, for about
- * as many executors as it can use; again only when its tickets have run out or were refused.
+ * A call is slow and the advisor handles one at a time for each instance. So each step is asked for once, for about as many
+ * executors as it can use, and again only when its tickets have expired or were refused.
  */
 import type {Clock} from "@cottonwood/core"
 import type {Advisor} from "../types/advisor.js"
@@ -10,13 +10,13 @@
 import type {EventLog} from "../utils/log.js"
 import type {JobMetrics} from "../utils/metrics.js"
 
-/** Executors named in one call; the users reckon with one call for so many a step. */
-const ASKED_AT_ONCE = 30
-/** A ticket that ends sooner is not used: the start takes a moment to arrive. */
+/** Executors named in one call. */
+const MAX_EXECUTORS_PER_CALL = 30
+/** A ticket that expires sooner is not used, since the start takes time to arrive. */
 const TICKET_MARGIN_MS = 60
-/** An answer is missed after its own time and this. */
-const ANSWER_SLACK_MS = 400
-/** After a call without an answer, or too many that wait. */
+/** The timeout of a call beyond its expected time. */
+const ANSWER_MARGIN_MS = 400
+/** The delay after a call that was not answered, or found the advisor busy. */
 const RETRY_MS = 250
 
 export interface TicketsDeps {
@@ -24,29 +24,29 @@
 	readonly advisor: Advisor
 	readonly log: EventLog
 	readonly metrics: JobMetrics
-	/** New tickets have arrived. */
+	/** Called when a call has ended, with or without new tickets. */
 	readonly onTickets: () => void
 }
 
 export interface Tickets {
-	/** The ticket of an executor for a step that holds now. */
+	/** An executor's valid ticket for a step; undefined if there is none. */
 	ticketOf(step: string, executor: string): string | undefined
-	/** Asks for a step unless that is under way; executors already known are not asked for again. */
-	want(step: string, executors: readonly string[], timing: AdviceTiming): void
-	/** An executor refused a ticket: it is not used again. */
+	/** Asks for a step's tickets unless a call is under way; skips executors that have one or were excluded. */
+	request(step: string, executors: readonly string[], timing: AdviceTiming): void
+	/** Drops a ticket that its executor refused. */
 	refuse(step: string, executor: string): void
-	/** The step is over. */
+	/** Drops the tickets of a step that has ended. */
 	forget(step: string): void
 }
 
-interface Held {
+interface HeldTicket {
 	readonly ticket: string
 	readonly until: number
 }
 
 interface StepTickets {
-	readonly held: Map<string, Held>
-	/** Asked for, and not allowed; that does not change. */
+	readonly held: Map<string, HeldTicket>
+	/** Executors that the advisor did not allow; final. */
 	readonly excluded: Set<string>
 	isAsking: boolean
 }
@@ -54,7 +54,7 @@
 export function createTickets(deps: TicketsDeps): Tickets {
 	const {clock, advisor, log, metrics} = deps
 	const steps = new Map<string, StepTickets>()
-	/** The service handles one call at a time for each instance; more would only wait there. */
+	/** The advisor handles one call at a time for each instance. */
 	let lastCall: Promise<unknown> = Promise.resolve()
 
 	function stepOf(step: string): StepTickets {
@@ -66,7 +66,7 @@
 		return known
 	}
 
-	function holds(known: StepTickets, executor: string): Held | undefined {
+	function validTicket(known: StepTickets, executor: string): HeldTicket | undefined {
 		const held = known.held.get(executor)
 		return held && clock.now() < held.until ? held : undefined
 	}
@@ -75,15 +75,20 @@
 		const known = stepOf(step)
 		const takesMs = timing.decideMs + timing.perExecutorMs * executors.length
 		const sentAt = clock.now()
-		const reply = await advisor.ask(step, executors, takesMs + ANSWER_SLACK_MS)
+		const reply = await advisor.ask(step, executors, takesMs + ANSWER_MARGIN_MS)
 		metrics.count("advice_calls", reply.type)
 		const tookMs = Math.round(clock.now() - sentAt)
 		const count = reply.type === "advice" ? reply.tickets.size : 0
 		const fields = {task: step, outcome: reply.type, count, tookMs}
-		log.event("placer", "advice", "placer: asked which executors may run a step.", fields)
+		log.event(
+			"placer",
+			"advice",
+			"placer: asked the advisor which executors may run a step.",
+			fields,
+		)
 		if (reply.type !== "advice") await clock.sleep(RETRY_MS)
 		else {
-			// The ticket's time may have begun when the call was sent.
+			// The ticket may have become valid when the call was sent.
 			const until = sentAt + reply.validMs - TICKET_MARGIN_MS
 			for (const executor of executors) {
 				const ticket = reply.tickets.get(executor)
@@ -98,14 +103,14 @@
 	return {
 		ticketOf(step, executor) {
 			const known = steps.get(step)
-			return known && holds(known, executor)?.ticket
+			return known && validTicket(known, executor)?.ticket
 		},
-		want(step, executors, timing) {
+		request(step, executors, timing) {
 			const known = stepOf(step)
 			if (known.isAsking) return
 			const asked = executors
-				.filter(executor => !known.excluded.has(executor) && !holds(known, executor))
-				.slice(0, ASKED_AT_ONCE)
+				.filter(executor => !known.excluded.has(executor) && !validTicket(known, executor))
+				.slice(0, MAX_EXECUTORS_PER_CALL)
 			if (asked.length === 0) return
 			known.isAsking = true
 			lastCall = lastCall.then(() => ask(step, asked, timing))
--- a/packages/jobs/test/speeds-taken-over.test.ts
+++ b/packages/jobs/test/speeds-taken-over.test.ts
@@ -1,6 +1,4 @@
-/**
- * Where the first task goes once somebody else places a failure domain: by the speeds that the placer before has learnt.
- */
+/** The use of speeds that a previous placer learnt: choice of executors, stuck runs and health. */
 import {createJobMetrics, silentLog, type Claim} from "@cottonwood/jobs"
 import {
 	createHostedPlacers,
@@ -19,8 +17,8 @@
 const ignore = () => undefined
 const EXECUTORS = [record("e1"), record("e2"), record("e3")]
 
-/** One life of an instance. */
-function createLife(
+/** An instance from its start to its end. */
+function createInstance(
 	session: string,
 	clock: FakeClock,
 	store: ReturnType<typeof createFakeStore>["store"],
@@ -55,12 +53,12 @@
 	return {hosts, orders, claimOf, place}
 }
 
-describe("speeds that are taken over", () => {
-	it("decide where the first task goes after all instances have lost power", async () => {
-		// The only instance learns that e2 is the fast one, loses power, and comes back with nothing but the store.
+describe("inherited speeds", () => {
+	it("decide where the first task goes after a loss of all instances", async () => {
+		// The only instance learns that e2 is fast, and is replaced by one with no state but the store.
 		const clock = createFakeClock()
 		const {store} = createFakeStore()
-		const before = createLife("s1", clock, store)
+		const before = createInstance("s1", clock, store)
 		before.hosts.noteClaim(before.claimOf(1))
 		await clock.advance(20)
 		const speeds = before.hosts.of("a")?.speedKeeper?.speeds
@@ -74,17 +72,16 @@
 		await clock.advance(2_100)
 		before.hosts.close()
 		await clock.advance(560)
-		const after = createLife("s2", clock, store)
+		const after = createInstance("s2", clock, store)
 		after.hosts.noteClaim(after.claimOf(2))
 		await clock.advance(20)
 		expect(await after.place("j.0.0.0")).to.equal("e2")
 	})
 
-	it("are written no more by a placer that has lost its domain", async () => {
-		// Another claim is known here; what this instance goes on to learn is no news any more.
+	it("are not written by a placer that has lost its domain", async () => {
 		const clock = createFakeClock()
 		const {fake, store} = createFakeStore()
-		const {hosts, claimOf} = createLife("s1", clock, store)
+		const {hosts, claimOf} = createInstance("s1", clock, store)
 		hosts.noteClaim(claimOf(1))
 		await clock.advance(20)
 		const speeds = hosts.of("a")?.speedKeeper?.speeds
@@ -95,21 +92,21 @@
 		expect(fake.puts).to.equal(0)
 	})
 
-	it("do not keep anybody from placing when the record is another writer's", async () => {
+	it("do not prevent placing when the record is invalid", async () => {
 		const clock = createFakeClock()
 		const {fake, store} = createFakeStore()
 		fake.write(speedKey("a"), "no record at all")
-		const {hosts, claimOf, place} = createLife("s1", clock, store)
+		const {hosts, claimOf, place} = createInstance("s1", clock, store)
 		hosts.noteClaim(claimOf(1))
 		await clock.advance(20)
 		expect(await place("j.0.0.0")).to.be.oneOf(["e1", "e2", "e3"])
 	})
 
-	it("do not keep anybody from placing while the store says nothing", async () => {
+	it("do not prevent placing while the store does not answer", async () => {
 		const clock = createFakeClock()
 		const {store} = createFakeStore()
 		const silent = {...store, get: () => new Promise<undefined>(ignore)}
-		const {hosts, claimOf, place} = createLife("s1", clock, silent)
+		const {hosts, claimOf, place} = createInstance("s1", clock, silent)
 		hosts.noteClaim(claimOf(1))
 		await clock.advance(20)
 		expect(await place("j.0.0.0")).to.be.oneOf(["e1", "e2", "e3"])
@@ -117,13 +114,13 @@
 })
 
 describe("runs on executors whose speed is known", () => {
-	/** After how long without progress a run of 4,000 ms is stopped on an executor. */
+	/** How long a run of 4,000 ms goes on without progress before it is stopped. */
 	async function stuckAfterMs(slowness: number): Promise<number> {
 		const clock = createFakeClock()
 		const orders = new FakeExecutors(clock)
 		const speeds = createPersistentSpeeds(() => clock.now())
-		const told = new Map([["e1", {mean: Math.log(slowness), weight: 9, outliers: 0}]])
-		speeds.merge({executors: told, labels: new Map()})
+		const inherited = new Map([["e1", {mean: Math.log(slowness), weight: 9, outliers: 0}]])
+		speeds.merge({executors: inherited, labels: new Map()})
 		const placer = createTestPlacer({clock, orders, speeds})
 		placer.setExecutors([record("e1")])
 		await clock.advance(10)
@@ -135,8 +132,8 @@
 		return clock.now() - startedAt
 	}
 
-	it("count as stuck by the time that they take there", async () => {
-		// No progress is told for longer than 0.6 of what the run takes on this executor.
+	it("count as stuck by their expected time there", async () => {
+		// The limit is 0.6 of the expected time on the executor without progress.
 		const [fast, plain, slow] = [
 			await stuckAfterMs(0.6),
 			await stuckAfterMs(1),
@@ -147,9 +144,8 @@
 		expect(slow).to.be.within(4_800, 5_400)
 	})
 
-	it("do not have a slow executor set aside for one tail", async () => {
-		// An executor takes twice as long as estimated, which is known; then one task takes seven times as long as that. Smoothed as
-		// it is, that would pass for three times its estimates, from where an executor gets probes only.
+	it("do not set a slow executor aside for one outlier", async () => {
+		// The executor is known to take twice its estimates; then one task takes seven times as long as that.
 		const clock = createFakeClock()
 		const orders = new FakeFleet(clock)
 		const speeds = createPersistentSpeeds(() => clock.now())
--- a/packages/jobs/test/uneven-executors.test.ts
+++ b/packages/jobs/test/uneven-executors.test.ts
@@ -1,6 +1,4 @@
-/**
- * Executors of three speeds: where a placer sends what, what it makes of its room, and what it is worth to know them from the start.
- */
+/** Executors of different speeds: where a placer sends tasks, how it counts its capacity, and the gain from known speeds. */
 import {
 	createPersistentSpeeds,
 	speedCost,
@@ -18,12 +16,12 @@
 
 const speedOf = (slowness: number) => ({mean: Math.log(slowness), weight: 9, outliers: 0})
 
-function inherit(speeds: PersistentSpeeds, slowness: Readonly<Record<string, number>>) {
+function inheritSpeeds(speeds: PersistentSpeeds, slowness: Readonly<Record<string, number>>) {
 	const executors = new Map(Object.entries(slowness).map(([id, times]) => [id, speedOf(times)]))
 	speeds.merge({executors, labels: new Map()})
 }
 
-/** A placer whose executors' speeds a predecessor has learnt. */
+/** A placer with inherited speeds. */
 async function createWorld(
 	slowness: Readonly<Record<string, number>>,
 	capacity: ExecutorRecord["capacity"] = {cpu: 32_000, memoryMb: 1_000, accelerators: 0},
@@ -31,7 +29,7 @@
 	const clock = createFakeClock()
 	const orders = new FakeExecutors(clock)
 	const speeds = createPersistentSpeeds(() => clock.now())
-	inherit(speeds, slowness)
+	inheritSpeeds(speeds, slowness)
 	const placer = createTestPlacer({clock, orders, speeds})
 	placer.setExecutors(Object.keys(slowness).map(id => record(id, {capacity})))
 	await clock.advance(10)
@@ -50,9 +48,8 @@
 }
 
 describe("uneven executors", () => {
-	it("get urgent work at the fast ones, and work with time to spare where it does no harm", async () => {
-		// The first task has 160 ms for its 100 and ends in time on the fast executor alone. The second has time for any of them,
-		// so it goes where it fills up an executor that runs something already.
+	it("run urgent tasks on the fast ones, and tasks with time to spare on the slow ones", async () => {
+		// The first task is in time on the fast executor only. The second is in time on any, so the fast one stays free.
 		const {place} = await createWorld({slow: 1.6, fast: 0.6, plain: 1})
 		expect(await place("j.0.0.0", {estimateMs: 100, startBy: 60})).to.equal("fast")
 		const {place: placeIdle, speeds} = await createWorld({slow: 1.6, fast: 0.6})
@@ -61,14 +58,14 @@
 		expect(await placeIdle("l.0.0.0", {estimateMs: 100, startBy: 40})).to.equal("fast")
 	})
 
-	it("are chosen by speed where nothing would be in time", async () => {
+	it("are chosen by speed where a task would be late on all", async () => {
 		const {place} = await createWorld({slow: 1.6, fast: 0.6})
 		expect(await place("j.0.0.0", {estimateMs: 100, startBy: -300})).to.equal("fast")
 		const {place: placeLater} = await createWorld({slow: 1.6, fast: 0.6})
 		expect(await placeLater("k.0.0.0", {estimateMs: 100, startBy: -1_000})).to.equal("fast")
 	})
 
-	it("cost nothing while a task ends in time there, and more the later it would be", () => {
+	it("cost nothing if a task ends in time there, and more the later it would be", () => {
 		const due = {estimateMs: 100, startBy: 100}
 		expect(speedCost(1.3, due, 0)).to.equal(0)
 		expect(speedCost(1.6, due, 0)).to.be.greaterThan(0)
@@ -76,24 +73,22 @@
 		expect(speedCost(30, due, 0)).to.be.lessThan(5)
 	})
 
-	it("take work at their pace: what waits before a start is counted in time, not in cores", async () => {
-		// Two domains of the same cores; in one of them the executors take twice as long.
+	it("have their waiting work and capacity scaled by speed", async () => {
 		const full = {estimateMs: 1_000, startBy: 5_000}
 		const waits: number[] = []
-		const told: number[] = []
+		const reported: number[] = []
 		for (const slowness of [1, 2]) {
 			const {place, placer} = await createWorld({e1: slowness, e2: slowness})
 			for (let at = 0; at < 8; at++) await place(`j.0.0.${at}`, full)
 			waits.push(placer.expectedWaitMs(Infinity))
-			told.push(placer.room().totalCpu)
+			reported.push(placer.room().totalCpu)
 		}
 		expect(waits[1]! / waits[0]!).to.be.within(1.7, 2.1)
-		expect(told[0]! / told[1]!).to.be.within(1.7, 2.1)
+		expect(reported[0]! / reported[1]!).to.be.within(1.7, 2.1)
 	})
 
-	it("show that they have turned slow by runs that go on", async () => {
-		// Three tasks have run for longer than their estimates, and their executor lists them as some hundredths done. That says
-		// more than their ends would, and long before these.
+	it("are recognised as slow from the progress of unfinished runs", async () => {
+		// Three tasks have run for longer than their estimates with little progress.
 		const {clock, orders, speeds, place} = await createWorld(
 			{e1: 1},
 			{cpu: 64_000, memoryMb: 1_000, accelerators: 0},
@@ -104,7 +99,7 @@
 		expect(speeds.expectedSlowness("e1")).to.be.greaterThan(4)
 	})
 
-	/** The first second after a loss of all, at a crest: placers that know nothing, and placers that were told. */
+	/** The first second after a loss of all instances, at peak demand. */
 	const CREST: ReplayDay = {
 		work: UNEVEN_WORK,
 		executorsPerDomain: 18,
@@ -112,10 +107,10 @@
 		lengthMs: 1_000,
 		troubles: [],
 	}
-	const toldSpeeds: ReplayDay["keepSpeeds"] = (clock, executors) => {
+	const knownSpeeds: ReplayDay["keepSpeeds"] = (clock, executors) => {
 		const speeds = createPersistentSpeeds(() => clock.now())
 		const pairs = executors.map(({record: {id}, faults}) => [id, faults.slowness] as const)
-		inherit(speeds, Object.fromEntries(pairs))
+		inheritSpeeds(speeds, Object.fromEntries(pairs))
 		return {speeds, close: () => undefined}
 	}
 	const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8]
@@ -131,12 +126,12 @@
 	const sumOf = (all: readonly ReplayFigures[], figure: (one: ReplayFigures) => number) =>
 		all.reduce((sum, one) => sum + figure(one), 0)
 
-	it("serve more jobs in time from the first second on when their speeds are known", async () => {
+	it("serve more jobs in time in the first second when their speeds are known", async () => {
 		const learnt = await replayAll(CREST)
-		const told = await replayAll({...CREST, keepSpeeds: toldSpeeds})
+		const known = await replayAll({...CREST, keepSpeeds: knownSpeeds})
 		for (const [name, all] of [
-			["learnt anew", learnt],
-			["told", told],
+			["learnt", learnt],
+			["known", known],
 		] as const) {
 			const text = (figure: (one: ReplayFigures) => number) =>
 				(sumOf(all, figure) / all.length).toFixed(3)
@@ -144,7 +139,9 @@
 			const shares = `in time ${text(({inTime}) => inTime)}, late ${text(({late}) => late)}`
 			console.log(`        ${name}: credit ${credit}, ${shares}`)
 		}
-		expect(sumOf(told, ({inTime}) => inTime)).to.be.greaterThan(sumOf(learnt, ({inTime}) => inTime))
-		expect(sumOf(told, ({whole}) => whole)).to.be.greaterThan(sumOf(learnt, ({whole}) => whole))
+		expect(sumOf(known, ({inTime}) => inTime)).to.be.greaterThan(
+			sumOf(learnt, ({inTime}) => inTime),
+		)
+		expect(sumOf(known, ({whole}) => whole)).to.be.greaterThan(sumOf(learnt, ({whole}) => whole))
 	})
 })
