--- a/packages/jobs/src/index.ts
+++ b/packages/jobs/src/index.ts
@@ -3,7 +3,7 @@
  */
 export * from "./types/job.js"
 export type * from "./types/kept-job.js"
-export type {KeptFront} from "./keep/kept-front.js"
+export type {KeptJobRouter as KeptFront} from "./keep/kept-job-router.js"
 export type {AcceptReply} from "./keep/keeper.js"
 export type * from "./types/advisor.js"
 export * from "./types/executor.js"
--- a/packages/jobs/src/instance.ts
+++ b/packages/jobs/src/instance.ts
@@ -32,8 +32,8 @@
 import {createLagMonitor} from "./fleet/lag-monitor.js"
 import {publishFigures} from "./figures.js"
 import {createOwnClaims, followExecutors, followFleet, servedBy} from "./followers.js"
-import type {KeptFront} from "./keep/kept-front.js"
-import {createKeptParts} from "./keep/parts.js"
+import type {KeptJobRouter} from "./keep/kept-job-router.js"
+import {createKeptJobService} from "./keep/kept-job-service.js"
 import type {LeaseRule} from "./decide/lease-rule.js"
 import {sliceNames} from "./decide/slices.js"
 import type {Advisor} from "./types/advisor.js"
@@ -96,7 +96,7 @@
 	 */
 	trackConnection(): () => number
 	/** Requests for kept jobs. */
-	readonly kept: KeptFront
+	readonly kept: KeptJobRouter
 	/** Why no caller should be routed here; undefined when ready. */
 	notReadyCause(): string | undefined
 	isLeaving(): boolean
@@ -177,7 +177,7 @@
 		rescheduleLostJob: placing.placesAnew ? createRescheduler({...common, leaseRule}) : undefined,
 	})
 
-	const keptParts = createKeptParts({
+	const keptParts = createKeptJobService({
 		...deps,
 		clock,
 		peers,
@@ -213,7 +213,7 @@
 		runJob: (message, caller) => dispatcher.runJob(message, caller),
 		runTask: (message, caller) => dispatcher.runTask(message, caller),
 		takeOver: message => handover.takeOver(message),
-		kept: message => keptParts.front.answer(message),
+		kept: message => keptParts.router.answer(message),
 	})
 	const datagrams = await openDatagrams(
 		self.address,
@@ -264,7 +264,7 @@
 		config: config.current,
 		dispatch: dispatcher.dispatch,
 		trackConnection: news.noteAccepted,
-		kept: keptParts.front,
+		kept: keptParts.router,
 		notReadyCause: () => notReadyCauseOf(isLeaving, config.current(), dispatcher),
 		isLeaving: () => isLeaving,
 		async leave() {
--- a/packages/jobs/src/keep/job-moves.ts
+++ b/packages/jobs/src/keep/job-moves.ts
@@ -11,11 +11,11 @@
 import type {JobMetrics} from "../utils/metrics.js"
 
 /** A job without a running task for this long is moved. */
-const IDLE_MS = 700
+const MAX_IDLE_MS = 700
 /** Offset between the run numbers of two placers of a job; more than any job's runs. */
 const RUNS_PER_FENCE = 10_000
 
-export interface MovingDeps {
+export interface JobMovesDeps {
 	readonly clock: Clock
 	readonly log: EventLog
 	readonly metrics: JobMetrics
@@ -23,31 +23,31 @@
 	/** Returns another domain that reported this many free thousandths of a core, if any. */
 	readonly domainWithRoom: (cpu: number) => Claim | undefined
 	/** Notifies the placer of another domain that it now owns the job. */
-	readonly tellHome: (claim: Claim, id: string) => void
+	readonly notifyHome: (claim: Claim, id: string) => void
 	readonly jobs: OpenJobs
 	readonly ledger: Ledger
 	readonly isClosed: () => boolean
 }
 
 /** Returns the run number before the first one that a job may use under a claim of its home. */
-export function runBaseUnder({runBase, homeFence}: JobRecord, {fence}: Claim): number {
+export function runBaseFor({runBase, homeFence}: JobRecord, {fence}: Claim): number {
 	return runBase + Math.max(0, fence - homeFence) * RUNS_PER_FENCE
 }
 
 /** Checks for idle jobs until the keeper is closed. */
-export function beginMoving(deps: MovingDeps): void {
+export function startJobMoves(deps: JobMovesDeps): void {
 	const {clock, jobs, isClosed} = deps
 	async function loop() {
 		while (!isClosed()) {
-			await clock.sleep(IDLE_MS / 2)
-			const idle = jobs.all().filter(job => job.idleMs() > IDLE_MS)
+			await clock.sleep(MAX_IDLE_MS / 2)
+			const idle = jobs.all().filter(job => job.idleMs() > MAX_IDLE_MS)
 			for (const job of idle) await move(job, deps)
 		}
 	}
 	void loop()
 }
 
-async function move(job: KeptJob, deps: MovingDeps): Promise<void> {
+async function move(job: KeptJob, deps: JobMovesDeps): Promise<void> {
 	const {jobs, ledger, claim, log, metrics} = deps
 	const record = job.record()
 	const target = deps.domainWithRoom(job.largestNeedCpu())
@@ -57,7 +57,7 @@
 		...record,
 		home: target.failureDomain,
 		homeFence: target.fence,
-		runBase: runBaseUnder(record, claim) + RUNS_PER_FENCE,
+		runBase: runBaseFor(record, claim) + RUNS_PER_FENCE,
 	}
 	const written = await ledger.release(moved)
 	// A listing that was read before the write still names this home.
@@ -65,5 +65,5 @@
 	const fields = {job: record.id, failureDomain: target.failureDomain, outcome: written}
 	log.event("job", "job_moved", "job: move to a domain with free capacity.", fields)
 	metrics.count("jobs_moved", written === "written" ? "moved" : "not_moved")
-	if (written === "written") deps.tellHome(target, record.id)
+	if (written === "written") deps.notifyHome(target, record.id)
 }
--- a/packages/jobs/src/keep/kept-run.ts
+++ b/packages/jobs/src/keep/job-occurrence.ts
@@ -24,14 +24,14 @@
 import type {JobMetrics} from "../utils/metrics.js"
 
 /** Delay before a lasting task starts again, doubled with each short run. */
-const LASTING_RETRY_MS = 50
-const LONGEST_LASTING_RETRY_MS = 1_600
+const MIN_LASTING_RETRY_MS = 50
+const MAX_LASTING_RETRY_MS = 1_600
 /** Runs of at least this length reset the delay. */
 const LONG_RUN_MS = 10_000
 /** Number of executors with failed or lost runs of a task that its next run avoids. */
 const MAX_AVOIDED = 3
 
-export interface KeptRunDeps {
+export interface JobOccurrenceDeps {
 	readonly clock: Clock
 	readonly log: EventLog
 	readonly metrics: JobMetrics
@@ -48,25 +48,28 @@
 		onEnd: (end: TaskEnd) => EndRecorded,
 	) => TaskHandle
 	/** Records tasks as done, by their short names; resolves when it is in the store. */
-	readonly noteDone: (tasks: readonly string[]) => Promise<void>
+	readonly recordDone: (tasks: readonly string[]) => Promise<void>
 	/**
-	 * Records a failed attempt; returns their number, and resolves `noted` when it is in the store.
+	 * Records a failed attempt; returns their number; `recorded` resolves when it is in the store.
 	 */
-	readonly noteFailure: (task: string) => {readonly count: number; readonly noted: Promise<void>}
+	readonly recordFailure: (task: string) => {
+		readonly count: number
+		readonly recorded: Promise<void>
+	}
 	/** Records how many executors are known to have crashed under a task. */
-	readonly noteCrash: (task: string, known: number) => Promise<void>
+	readonly recordCrash: (task: string, known: number) => Promise<void>
 	readonly onStart: () => void
 	/** All steps are done, or a task has failed as often as its queue allows. */
 	readonly onEnd: (state: "completed" | "failed", cause: string) => void
 }
 
-export interface KeptRun {
+export interface JobOccurrence {
 	/** Starts the tasks that are due; before this call runs can only be adopted. */
 	begin(): void
 	/** Takes over a run that an executor lists; returns whether the run is still wanted. */
 	adopt(task: string, run: number, executor: string): boolean
 	/** Handles an end that an executor lists of a run that was not managed here. */
-	noteStrayEnd(task: string, end: TaskEnd): EndRecorded
+	noteUnclaimedEnd(task: string, end: TaskEnd): EndRecorded
 	/** Whether the steps have begun and none of the tasks is on an executor. */
 	isIdle(): boolean
 	/** Cancels all runs. */
@@ -80,7 +83,7 @@
 	readonly name: string
 	run: number
 	/** Consecutive short runs that ended without a result. */
-	ends: number
+	shortRuns: number
 	startedAt: number
 	crashes: CrashCount
 	readonly avoid: string[]
@@ -93,15 +96,15 @@
 export const shortName = (task: string) => task.slice(task.indexOf(".") + 1)
 
 /** Starts an occurrence of a kept job, given by its index. */
-export function startKeptRun(
+export function startOccurrence(
 	record: JobRecord,
-	time: number,
+	occurrence: number,
 	dueAt: number,
 	queue: Queue,
-	deps: KeptRunDeps,
-): KeptRun {
+	deps: JobOccurrenceDeps,
+): JobOccurrence {
 	const {clock, log, metrics} = deps
-	const tasks = record.steps.map((_, at) => newTasks(record, time, at, deps.runBase))
+	const tasks = record.steps.map((_, at) => createTasks(record, occurrence, at, deps.runBase))
 	const byName = new Map(tasks.flat().map(task => [task.name, task]))
 	const begunSteps = new Set<number>()
 	const slackMs = queue.stretch * criticalPathMs(record.steps) + queue.slackMs
@@ -110,18 +113,18 @@
 
 	const slackOf = ({estimateMs}: Step) => slackMs - estimateMs
 	const requestOf = (task: TaskState) =>
-		requestFor(task, record, queue, dueAt + slackOf(stepOf(task)))
+		createRequest(task, record, queue, dueAt + slackOf(stepOf(task)))
 
 	function submitTask(task: TaskState) {
 		if (isOver || task.isDone || task.handle) return
 		task.handle = deps.submit(
 			requestOf(task),
-			end => noteEnd(task, end),
-			() => noteStart(task),
+			end => handleEnd(task, end),
+			() => handleStart(task),
 		)
 	}
 
-	function noteStart(task: TaskState) {
+	function handleStart(task: TaskState) {
 		task.isStarted = true
 		task.startedAt = clock.now()
 		deps.onStart()
@@ -129,35 +132,36 @@
 
 	const stepOf = ({step}: TaskState) => record.steps[step] as Step
 
-	function noteEnd(task: TaskState, end: TaskEnd): EndRecorded {
+	function handleEnd(task: TaskState, end: TaskEnd): EndRecorded {
 		const ranMs = clock.now() - task.startedAt
 		task.handle = undefined
 		task.isStarted = false
 		if (isOver || task.isDone) return undefined
 		const step = stepOf(task)
-		task.ends = ranMs > LONG_RUN_MS ? 0 : task.ends + 1
+		task.shortRuns = ranMs > LONG_RUN_MS ? 0 : task.shortRuns + 1
 		task.run += end.type === "outnumbered" ? RUN_NUMBER_STEP : 1
-		if (end.type === "done" && !step.isLasting) return noteTaskDone(task)
+		if (end.type === "done" && !step.isLasting) return handleTaskDone(task)
 		if ("executor" in end && end.type !== "done") avoid(task, end.executor)
-		const noted = noteWithoutResult(task, end)
+		const recorded = handleMissingResult(task, end)
 		if (!isOver) retry(task, end)
-		return noted
+		return recorded
 	}
 
-	function noteWithoutResult(task: TaskState, end: TaskEnd): EndRecorded {
-		if (end.type === "failed" && !stepOf(task).isLasting) return noteTaskFailed(task)
-		return end.type === "lost" && end.crash ? noteTaskCrashed(task, end.crash) : undefined
+	function handleMissingResult(task: TaskState, end: TaskEnd): EndRecorded {
+		if (end.type === "failed" && !stepOf(task).isLasting) return handleTaskFailed(task)
+		return end.type === "lost" && end.crash ? handleTaskCrashed(task, end.crash) : undefined
 	}
 
 	/** Recorded so that the next placer does not start the task as often again. */
-	function noteTaskCrashed(task: TaskState, crash: Crash): EndRecorded {
+	function handleTaskCrashed(task: TaskState, crash: Crash): EndRecorded {
 		task.crashes = countCrash(task.crashes, crash)
 		noteCrash(deps, {job: record.id, task: task.name, run: task.run, outcome: crash})
 		const {known} = task.crashes
-		const noted = crash === "possible" ? undefined : deps.noteCrash(shortName(task.name), known)
+		const recorded =
+			crash === "possible" ? undefined : deps.recordCrash(shortName(task.name), known)
 		if (isPoisonTask(task.crashes, crash))
 			finish("failed", `${known} executors crashed under ${task.name}`)
-		return noted
+		return recorded
 	}
 
 	function retry(task: TaskState, end: TaskEnd) {
@@ -167,7 +171,7 @@
 		log.event("job", "task_retry", "job: retrying a task.", fields)
 		const step = stepOf(task)
 		if (step.isGang) return restartGang(task.step)
-		clock.schedule(step.isLasting ? lastingPauseMs(task) : RETRY_MS, () => submitTask(task))
+		clock.schedule(step.isLasting ? lastingRetryMs(task) : RETRY_MS, () => submitTask(task))
 	}
 
 	/** Cancels the rest of a gang that lost a member, then starts it under one run number. */
@@ -180,21 +184,21 @@
 		clock.schedule(RETRY_MS, () => members.forEach(submitTask))
 	}
 
-	function noteTaskDone(task: TaskState): EndRecorded {
+	function handleTaskDone(task: TaskState): EndRecorded {
 		const finished = stepOf(task).isGang ? (tasks[task.step] as TaskState[]) : [task]
 		// A gang ends as a whole, so one member's completion counts for all.
 		for (const one of finished) one.isDone = true
-		const noted = deps.noteDone(finished.map(({name}) => shortName(name)))
+		const recorded = deps.recordDone(finished.map(({name}) => shortName(name)))
 		beginSteps()
 		finishIfDone()
-		return noted
+		return recorded
 	}
 
-	function noteTaskFailed(task: TaskState): EndRecorded {
+	function handleTaskFailed(task: TaskState): EndRecorded {
 		const counted = stepOf(task).isGang ? (tasks[task.step]?.[0] as TaskState) : task
-		const {count, noted} = deps.noteFailure(shortName(counted.name))
+		const {count, recorded} = deps.recordFailure(shortName(counted.name))
 		if (count >= queue.maxAttempts) finish("failed", `${task.name} failed ${count} times`)
-		return noted
+		return recorded
 	}
 
 	function finishIfDone() {
@@ -245,15 +249,15 @@
 			alignGang(task.step, task.run)
 			const adopted = {...requestOf(task), run}
 			const from = {executor, isStarted: true}
-			task.handle = deps.adopt(adopted, from, end => noteEnd(task, end))
-			noteStart(task)
+			task.handle = deps.adopt(adopted, from, end => handleEnd(task, end))
+			handleStart(task)
 			return true
 		},
-		noteStrayEnd(name, end) {
+		noteUnclaimedEnd(name, end) {
 			const task = byName.get(name)
 			const isCounted = end.type === "done" || end.type === "failed"
 			if (!task || isOver || task.isDone || task.handle || !isCounted) return undefined
-			return noteEnd(task, end)
+			return handleEnd(task, end)
 		},
 		isIdle: () => hasBegun && !isOver && [...byName.values()].every(({isStarted}) => !isStarted),
 		stop,
@@ -264,7 +268,7 @@
 }
 
 /** `startBy` is in milliseconds on the monotonic clock. */
-function requestFor(
+function createRequest(
 	task: TaskState,
 	record: JobRecord,
 	queue: Queue,
@@ -277,7 +281,7 @@
 		uselessAt: Infinity,
 		deadlineAt: Infinity,
 		confirmedAt: () => Infinity,
-		isBegun: task.ends > 0,
+		isBegun: task.shortRuns > 0,
 		isKept: true,
 		isLasting: step.isLasting,
 		isFilling: step.isFilling,
@@ -291,20 +295,25 @@
 	if (avoided.length > MAX_AVOIDED) avoided.shift()
 }
 
-function lastingPauseMs({ends}: TaskState): number {
-	return Math.min(LONGEST_LASTING_RETRY_MS, LASTING_RETRY_MS * 2 ** Math.min(ends, 6))
+function lastingRetryMs({shortRuns: ends}: TaskState): number {
+	return Math.min(MAX_LASTING_RETRY_MS, MIN_LASTING_RETRY_MS * 2 ** Math.min(ends, 6))
 }
 
-function newTasks(record: JobRecord, time: number, step: number, runBase: number): TaskState[] {
+function createTasks(
+	record: JobRecord,
+	occurrence: number,
+	step: number,
+	runBase: number,
+): TaskState[] {
 	const {count, isGang} = record.steps[step] as Step
 	const shared: string[] = []
 	return Array.from({length: count}, (_, index) => {
-		const name = `${record.id}.${time}.${step}.${index}`
+		const name = `${record.id}.${occurrence}.${step}.${index}`
 		return {
 			step,
 			name,
 			run: runBase + 1,
-			ends: 0,
+			shortRuns: 0,
 			startedAt: -Infinity,
 			crashes: {known: record.crashes?.[shortName(name)] ?? 0, possible: 0},
 			// A gang is placed as a whole, so its members avoid the same executors.
--- a/packages/jobs/src/keep/keeper.ts
+++ b/packages/jobs/src/keep/keeper.ts
@@ -22,7 +22,7 @@
 	type KeptJobRequest,
 } from "../types/kept-job.js"
 import type {WallClock} from "../utils/wall-clock.js"
-import {beginMoving, runBaseUnder, type MovingDeps} from "./job-moves.js"
+import {startJobMoves, runBaseFor, type JobMovesDeps} from "./job-moves.js"
 import {startKeptJob, type KeptJob} from "./kept-job.js"
 import {createLedger, type Ledger, type LedgerDeps} from "./ledger.js"
 import {createOpenJobs} from "./open-jobs.js"
@@ -30,23 +30,23 @@
 /** Delay between attempts to read the store after a takeover. */
 const RESTORE_RETRY_MS = 150
 /** Interval at which the placer is asked whether its takeover is complete. */
-const SETTLE_POLL_MS = 25
+const TAKEOVER_POLL_MS = 25
 /**
  * Time limit for the write of an acceptance or a cancellation. After it the request is refused if
  * the write has certainly not been done, and its outcome is unknown otherwise.
  */
 const WRITE_WAIT_MS = 900
 /** New jobs are refused at once while the store has not answered for this long. */
-const STORE_AWAY_MS = 600
+const MAX_STORE_SILENCE_MS = 600
 /** Interval between full listings, which find jobs whose move to this home was not announced. */
-const REVIEW_MS = 2_500
+const RELIST_MS = 2_500
 
-const NOT_WRITTEN: AcceptReply = Object.freeze({
+const REFUSED_UNWRITTEN: AcceptReply = Object.freeze({
 	type: "refused",
 	cause: "the store takes no writes",
 })
 
-export interface KeeperDeps extends Omit<MovingDeps, "jobs" | "ledger" | "isClosed"> {
+export interface KeeperDeps extends Omit<JobMovesDeps, "jobs" | "ledger" | "isClosed"> {
 	readonly wall: WallClock
 	readonly store: TransactionalStore
 	readonly spacingMs: () => number
@@ -87,7 +87,7 @@
 	let ledger: Ledger | undefined
 	let placer: Placer | undefined
 	let isRestored = false
-	let isSettled = false
+	let isTakeoverComplete = false
 	let isClosed = false
 
 	async function begin() {
@@ -99,36 +99,36 @@
 			if (!ledger) await clock.sleep(RESTORE_RETRY_MS)
 		}
 		if (isClosed) return ledger?.close()
-		while (!isClosed && !(await review())) await clock.sleep(RESTORE_RETRY_MS)
+		while (!isClosed && !(await loadRecords())) await clock.sleep(RESTORE_RETRY_MS)
 		isRestored = true
 		placer?.offerOrphans()
 		const fields = {failureDomain: home, fence: claim.fence, count: jobs.count()}
 		log.alarm("placer", "jobs_restored", "placer: restored the kept jobs of its domain.", fields)
-		while (!isClosed && !placer?.hasTakenOver()) await clock.sleep(SETTLE_POLL_MS)
-		isSettled = true
+		while (!isClosed && !placer?.hasTakenOver()) await clock.sleep(TAKEOVER_POLL_MS)
+		isTakeoverComplete = true
 		for (const job of jobs.all()) job.begin()
-		void reviewLoop()
-		if (ledger) beginMoving({...deps, jobs, ledger, isClosed: () => isClosed})
+		void relistLoop()
+		if (ledger) startJobMoves({...deps, jobs, ledger, isClosed: () => isClosed})
 	}
 
 	/** Reads all records and adds the jobs of this home that are not known yet. */
-	async function review(): Promise<boolean> {
+	async function loadRecords(): Promise<boolean> {
 		const sentAt = clock.now()
 		const listing = await store.list(OPEN_JOBS_PREFIX)
 		if (!listing || isClosed) return false
-		for (const item of listing.items) takeIn(item, sentAt)
+		for (const item of listing.items) loadRecord(item, sentAt)
 		return true
 	}
 
-	async function reviewLoop() {
+	async function relistLoop() {
 		while (!isClosed) {
-			await clock.sleep(REVIEW_MS)
-			if (!isClosed) await review()
+			await clock.sleep(RELIST_MS)
+			if (!isClosed) await loadRecords()
 		}
 	}
 
 	/** Adds a record from a read that began at `sentAt`, unless the job has left since then. */
-	function takeIn({value, revision}: StoreItem, sentAt: number) {
+	function loadRecord({value, revision}: StoreItem, sentAt: number) {
 		const record = value as JobRecord
 		if (record.home !== home || isClosed || jobs.hasLeftSince(record.id, sentAt)) return
 		const known = jobs.get(record.id)
@@ -139,7 +139,7 @@
 		ledger?.adopt(record, revision)
 		addJob(record)
 		if (record.isCancelled) void cancel(record.id)
-		else if (isSettled) jobs.get(record.id)?.begin()
+		else if (isTakeoverComplete) jobs.get(record.id)?.begin()
 	}
 
 	function addJob(record: JobRecord): KeptJob {
@@ -149,7 +149,7 @@
 			log,
 			metrics,
 			queueOf: deps.queueOf,
-			runBase: runBaseUnder(record, claim),
+			runBase: runBaseFor(record, claim),
 			placer: () => placer as Placer,
 			save: next => (ledger as Ledger).update(next),
 			onEnd: (state, cause) => void end(record.id, state, cause),
@@ -176,7 +176,8 @@
 	}
 
 	async function accept(request: KeptJobRequest): Promise<AcceptReply> {
-		if (store.silentMs() > STORE_AWAY_MS) return {type: "refused", cause: "the store is away"}
+		if (store.silentMs() > MAX_STORE_SILENCE_MS)
+			return {type: "refused", cause: "the store is away"}
 		if (!ledger) return {type: "refused", cause: "its placer has only just begun"}
 		if (jobs.has(request.id)) return {type: "accepted"}
 		const record: JobRecord = {
@@ -190,13 +191,13 @@
 			isCancelled: false,
 			writer: "",
 		}
-		const writing = ledger.create(record).then(written => noteCreated(record, written))
-		const waited = clock.sleep(WRITE_WAIT_MS).then(() => giveUpCreating(record.id))
+		const writing = ledger.create(record).then(written => handleCreated(record, written))
+		const waited = clock.sleep(WRITE_WAIT_MS).then(() => abandonCreate(record.id))
 		return Promise.race([writing, waited])
 	}
 
-	function giveUpCreating(id: string): AcceptReply {
-		if (ledger?.withdraw(id)) return NOT_WRITTEN
+	function abandonCreate(id: string): AcceptReply {
+		if (ledger?.withdraw(id)) return REFUSED_UNWRITTEN
 		return {type: "unknown", cause: "the store has not answered the write of its record"}
 	}
 
@@ -204,9 +205,9 @@
 	 * Runs a job also when its record is written after its submitter was told that the outcome is
 	 * unknown.
 	 */
-	function noteCreated(record: JobRecord, written: string): AcceptReply {
+	function handleCreated(record: JobRecord, written: string): AcceptReply {
 		if (written === "exists") return {type: "accepted"}
-		if (written === "withdrawn") return NOT_WRITTEN
+		if (written === "withdrawn") return REFUSED_UNWRITTEN
 		if (written !== "written") return {type: "unknown", cause: `its record: ${written}`}
 		metrics.count("jobs_accepted")
 		const job = jobs.get(record.id) ?? addJob(record)
@@ -220,7 +221,7 @@
 		if (!job || !ledger) return {type: "not here"}
 		job.stop()
 		const finishing = ledger.finish(id, "cancelled", wall.now())
-		const writing = finishing.then(written => noteCancelled(id, job, written))
+		const writing = finishing.then(written => handleCancelled(id, job, written))
 		const waited = clock.sleep(WRITE_WAIT_MS).then((): CancelReply => ({type: "unknown"}))
 		return Promise.race([writing, waited])
 	}
@@ -228,7 +229,7 @@
 	/**
 	 * Ends a job also when the write succeeds after the caller was told that the outcome is unknown.
 	 */
-	function noteCancelled(id: string, job: KeptJob, written: string): CancelReply {
+	function handleCancelled(id: string, job: KeptJob, written: string): CancelReply {
 		if (written === "deposed") return {type: "unknown"}
 		if (jobs.get(id) !== job) return {type: "cancelled"}
 		jobs.remove(id)
@@ -248,7 +249,7 @@
 		async fetch(id) {
 			const sentAt = clock.now()
 			const item = await store.get(openJobKey(id))
-			if (item && ledger && isRestored) takeIn(item, sentAt)
+			if (item && ledger && isRestored) loadRecord(item, sentAt)
 		},
 		stateOf: id => jobs.get(id)?.state(),
 		pendingOf(queue) {
@@ -262,7 +263,7 @@
 		knows: task => jobs.has(jobIdOf(task)),
 		adopt: (executor, task, run) => jobs.get(jobIdOf(task))?.adopt(task, run, executor) ?? false,
 		noteUnclaimedEnd: (task: string, end: TaskEnd): EndRecorded =>
-			jobs.get(jobIdOf(task))?.noteStrayEnd(task, end),
+			jobs.get(jobIdOf(task))?.noteUnclaimedEnd(task, end),
 		close() {
 			isClosed = true
 			ledger?.close()
@@ -293,6 +294,6 @@
 		store,
 		onDeposed,
 		writer: `${claim.placer.session}:${claim.fence}`,
-		guard: {key, revision: item.revision},
+		claimRevision: {key, revision: item.revision},
 	})
 }
--- a/packages/jobs/src/keep/kept-front.ts
+++ b/packages/jobs/src/keep/kept-job-router.ts
@@ -28,7 +28,7 @@
 /** The wait in the other domain must be at most this share of the own one. */
 const LESS_BUSY_SHARE = 0.5
 
-export interface KeptFrontDeps {
+export interface KeptJobRouterDeps {
 	readonly store: Store
 	readonly log: EventLog
 	readonly peers: Peers
@@ -41,7 +41,7 @@
 	readonly candidates: () => readonly Claim[]
 }
 
-export interface KeptFront {
+export interface KeptJobRouter {
 	accept(request: KeptJobRequest): Promise<AcceptReply>
 	/** `absent`: not open, and not ended within the retention time. `unknown`: no answer. */
 	stateOf(id: string): Promise<JobState | "absent" | "unknown">
@@ -51,7 +51,7 @@
 	answer(message: KeptMessage): Promise<KeptReply>
 }
 
-export function createKeptFront(deps: KeptFrontDeps): KeptFront {
+export function createKeptJobRouter(deps: KeptJobRouterDeps): KeptJobRouter {
 	const {store, log, peers, view, keeperOf} = deps
 
 	async function ask(claim: Claim, message: KeptMessage, timeoutMs: number) {
@@ -74,7 +74,7 @@
 			tried.add(failureDomain)
 			const message = {type: "accept", request, mayRedirect, failureDomain} as const
 			const reply = await ask(next, message, WRITE_TIMEOUT_MS)
-			noteAsked(request.id, next, reply.type)
+			logAsked(request.id, next, reply.type)
 			if (reply.type === "accepted" || reply.type === "unknown") return reply as AcceptReply
 			if (reply.type === "silent") return {type: "unknown", cause: `${next.placer.name} is silent`}
 			if (reply.type === "refused") refusal = reply as AcceptReply
@@ -84,7 +84,7 @@
 		return refusal
 	}
 
-	function noteAsked(job: string, {placer, fence, failureDomain}: Claim, outcome: string) {
+	function logAsked(job: string, {placer, fence, failureDomain}: Claim, outcome: string) {
 		const fields = {job, peer: placer.name, failureDomain, fence, outcome}
 		log.event("job", "keeper_asked", "job: asked a placer to accept it.", fields)
 	}
@@ -137,11 +137,11 @@
 		const message = {type: "cancel", id, failureDomain: record.home} as const
 		const reply = claim && (await ask(claim, message, WRITE_TIMEOUT_MS))
 		if (reply?.type === "cancelled") return "cancelled"
-		return askInStore(id)
+		return markCancelled(id)
 	}
 
 	/** Marks the record as cancelled for the next placer that reads it. */
-	async function askInStore(id: string) {
+	async function markCancelled(id: string) {
 		const item = await store.get(openJobKey(id))
 		if (item === undefined) return "unknown"
 		if (!item) return (await endOf(id)) ? "ended" : "unknown"
--- a/packages/jobs/src/keep/parts.ts
+++ b/packages/jobs/src/keep/kept-job-service.ts
@@ -11,18 +11,18 @@
 import type {JobMetrics} from "../utils/metrics.js"
 import {createWallClock} from "../utils/wall-clock.js"
 import {createKeeper, type Keeper} from "./keeper.js"
-import {createKeptFront, type KeptFront} from "./kept-front.js"
-import {beginSweeping} from "./sweeper.js"
+import {createKeptJobRouter, type KeptJobRouter} from "./kept-job-router.js"
+import {startSweeper} from "./sweeper.js"
 
 /** Reported capacity is ignored when it is older than two heartbeats. */
-const ROOM_AGE_MS = 500
+const MAX_REPORT_AGE_MS = 500
 /** Share of the store's write rate for job records; the rest is for claims and leases. */
 const LEDGER_SHARE = 0.6
 const MS_PER_S = 1_000
 /** A home that misses the notification finds the job at its next listing. */
-const TELL_TIMEOUT_MS = 250
+const NOTIFY_TIMEOUT_MS = 250
 
-export interface KeptPartsDeps {
+export interface KeptJobServiceDeps {
 	readonly clock: Clock
 	readonly store: TransactionalStore
 	readonly log: EventLog
@@ -38,13 +38,13 @@
 	readonly queueOf: (name: string) => Queue | undefined
 }
 
-export interface KeptParts {
-	readonly front: KeptFront
+export interface KeptJobService {
+	readonly router: KeptJobRouter
 	createKeeper(claim: Claim, onDeposed: () => void): Keeper
 	close(): void
 }
 
-export function createKeptParts(deps: KeptPartsDeps): KeptParts {
+export function createKeptJobService(deps: KeptJobServiceDeps): KeptJobService {
 	const {clock, log, peers, view, hosts} = deps
 	const wall = createWallClock(clock)
 
@@ -53,7 +53,7 @@
 		const own = hosts.of(domain)
 		if (own) return own.placer.room()
 		const told = view.roomOf(domain)
-		return told && clock.now() - told.at < ROOM_AGE_MS ? told.room : undefined
+		return told && clock.now() - told.at < MAX_REPORT_AGE_MS ? told.room : undefined
 	}
 
 	function domainWithRoom(own: string, cpu: number): Claim | undefined {
@@ -70,29 +70,29 @@
 		return (MS_PER_S * placers) / (deps.storeWritesPerSecond * LEDGER_SHARE)
 	}
 
-	async function tellHome({failureDomain, placer}: Claim, id: string) {
+	async function notifyPlacer({failureDomain, placer}: Claim, id: string) {
 		const message = {type: "fetch", id, failureDomain} as const
 		const reply = hosts.of(failureDomain)
 			? await front.answer(message)
-			: await peers.kept(placer.address, message, TELL_TIMEOUT_MS).reply
+			: await peers.kept(placer.address, message, NOTIFY_TIMEOUT_MS).reply
 		const fields = {job: id, peer: placer.name, failureDomain, outcome: reply?.type ?? "silent"}
 		log.event("job", "home_told", "job: notified its new home.", fields)
 	}
 
-	const front = createKeptFront({
+	const front = createKeptJobRouter({
 		...deps,
 		keeperOf: domain => hosts.of(domain)?.keeper,
 		roomOf,
 	})
-	const sweeper = beginSweeping({
+	const sweeper = startSweeper({
 		...deps,
 		wall,
-		keepMs: deps.endedStateMs,
+		retentionMs: deps.endedStateMs,
 		// One instance of the fleet sweeps: the one that places the first failure domain.
 		isOnDuty: () => hosts.of([...deps.failureDomains].sort()[0] as string) !== undefined,
 	})
 	return {
-		front,
+		router: front,
 		createKeeper: (claim, onDeposed) =>
 			createKeeper({
 				...deps,
@@ -101,7 +101,7 @@
 				onDeposed,
 				spacingMs,
 				domainWithRoom: cpu => domainWithRoom(claim.failureDomain, cpu),
-				tellHome: (home, id) => void tellHome(home, id),
+				notifyHome: (home, id) => void notifyPlacer(home, id),
 			}),
 		close: () => sweeper.close(),
 	}
--- a/packages/jobs/src/keep/kept-job.ts
+++ b/packages/jobs/src/keep/kept-job.ts
@@ -10,11 +10,11 @@
 import type {EventLog} from "../utils/log.js"
 import type {JobMetrics} from "../utils/metrics.js"
 import type {WallClock} from "../utils/wall-clock.js"
-import {shortName, startKeptRun, type KeptRun} from "./kept-run.js"
-import type {Written} from "./ledger.js"
+import {shortName, startOccurrence, type JobOccurrence} from "./job-occurrence.js"
+import type {WriteOutcome} from "./ledger.js"
 
 /** Maximum delay between checks of a scheduled time, since the time of day may be corrected. */
-const DUE_CHECK_MS = 1_000
+const MAX_DUE_CHECK_MS = 1_000
 /** Delay before the queue is looked up again when the configuration does not name it. */
 const QUEUE_RETRY_MS = 250
 
@@ -27,7 +27,7 @@
 	readonly runBase: number
 	readonly placer: () => Placer
 	/** Writes the record; resolves when it is in the store. */
-	readonly save: (record: JobRecord) => Promise<Written>
+	readonly save: (record: JobRecord) => Promise<WriteOutcome>
 	readonly onEnd: (state: EndedState, cause: string) => void
 }
 
@@ -37,7 +37,7 @@
 	/** Starts the occurrences that are due. */
 	begin(): void
 	adopt(task: string, run: number, executor: string): boolean
-	noteStrayEnd(task: string, end: TaskEnd): EndRecorded
+	noteUnclaimedEnd(task: string, end: TaskEnd): EndRecorded
 	/** How long tasks have been due while none was on an executor, in milliseconds. */
 	idleMs(): number
 	/** Thousandths of a core that the largest task needs. */
@@ -50,9 +50,9 @@
 
 export function startKeptJob(first: JobRecord, deps: KeptJobDeps): KeptJob {
 	const {clock, wall, log, metrics} = deps
-	const times = first.schedule?.times ?? 1
-	const runs = new Map<number, KeptRun>()
-	const endedTimes = new Set<number>()
+	const occurrences = first.schedule?.times ?? 1
+	const active = new Map<number, JobOccurrence>()
+	const endedOccurrences = new Set<number>()
 	let record = first
 	let hasBegun = false
 	let hasStarted = first.done.length > 0
@@ -72,107 +72,109 @@
 		})
 	}
 
-	function runOf(time: number): KeptRun | undefined {
-		const known = runs.get(time)
-		if (known || time >= times || endedTimes.has(time)) return known
+	function occurrenceOf(index: number): JobOccurrence | undefined {
+		const known = active.get(index)
+		if (known || index >= occurrences || endedOccurrences.has(index)) return known
 		const queue = deps.queueOf(record.queue)
 		if (!queue) return undefined
-		const run = startKeptRun(record, time, dueAtSteady(time), queue, {
+		const occurrence = startOccurrence(record, index, dueAtMonotonic(index), queue, {
 			clock,
 			log,
 			metrics,
 			runBase: deps.runBase,
 			submit: (req, onEnd, onStart) => deps.placer().submit(req, onEnd, onStart),
 			adopt: (req, from, onEnd) => deps.placer().adopt(req, from, onEnd),
-			noteDone: tasks => save({done: [...record.done, ...tasks]}),
-			noteFailure: task => noteFailure(task),
-			noteCrash: (task, known) => save({crashes: {...record.crashes, [task]: known}}),
+			recordDone: tasks => save({done: [...record.done, ...tasks]}),
+			recordFailure: task => recordFailure(task),
+			recordCrash: (task, known) => save({crashes: {...record.crashes, [task]: known}}),
 			onStart: () => void (hasStarted = true),
-			onEnd: (state, cause) => noteRunEnd(time, state, cause),
+			onEnd: (state, cause) => handleOccurrenceEnd(index, state, cause),
 		})
-		runs.set(time, run)
-		return run
+		active.set(index, occurrence)
+		return occurrence
 	}
 
-	function noteFailure(task: string) {
+	function recordFailure(task: string) {
 		const count = (record.failures[task] ?? 0) + 1
-		return {count, noted: save({failures: {...record.failures, [task]: count}})}
+		return {count, recorded: save({failures: {...record.failures, [task]: count}})}
 	}
 
-	function noteRunEnd(time: number, state: "completed" | "failed", cause: string) {
-		runs.delete(time)
-		endedTimes.add(time)
-		if (state === "failed") return over(state, cause)
-		if (endedTimes.size === times) over("completed", cause)
+	function handleOccurrenceEnd(index: number, state: "completed" | "failed", cause: string) {
+		active.delete(index)
+		endedOccurrences.add(index)
+		if (state === "failed") return finish(state, cause)
+		if (endedOccurrences.size === occurrences) finish("completed", cause)
 	}
 
-	function over(state: EndedState, cause: string) {
+	function finish(state: EndedState, cause: string) {
 		if (isOver) return
 		stop()
 		deps.onEnd(state, cause)
 	}
 
 	/** When an occurrence is due, in milliseconds since 1970. */
-	function dueAtWall(time: number): number {
+	function dueAtWall(index: number): number {
 		const {schedule} = record
-		return schedule ? schedule.firstDueMs + time * schedule.periodMs : record.acceptedAtMs
+		return schedule ? schedule.firstDueMs + index * schedule.periodMs : record.acceptedAtMs
 	}
 
-	const dueAtSteady = (time: number) => clock.now() + (dueAtWall(time) - wall.now())
+	const dueAtMonotonic = (index: number) => clock.now() + (dueAtWall(index) - wall.now())
 
-	function beginTimes() {
+	function beginOccurrences() {
 		if (isOver) return
-		for (let time = 0; time < times; time++) {
-			if (endedTimes.has(time)) continue
-			const dueInMs = record.schedule ? dueAtWall(time) - wall.now() : 0
-			if (dueInMs > 0) return void clock.schedule(Math.min(dueInMs, DUE_CHECK_MS), beginTimes)
-			const run = runOf(time)
-			if (!run) return noteNoQueue()
-			run.begin()
+		for (let index = 0; index < occurrences; index++) {
+			if (endedOccurrences.has(index)) continue
+			const dueInMs = record.schedule ? dueAtWall(index) - wall.now() : 0
+			if (dueInMs > 0)
+				return void clock.schedule(Math.min(dueInMs, MAX_DUE_CHECK_MS), beginOccurrences)
+			const occurrence = occurrenceOf(index)
+			if (!occurrence) return retryQueueLookup()
+			occurrence.begin()
 		}
 	}
 
-	function noteNoQueue() {
+	function retryQueueLookup() {
 		const fields = {job: record.id, queue: record.queue}
 		log.event("job", "queue_unknown", "job: the configuration has no such queue.", fields)
-		clock.schedule(QUEUE_RETRY_MS, beginTimes)
+		clock.schedule(QUEUE_RETRY_MS, beginOccurrences)
 	}
 
 	function stop() {
 		isOver = true
-		for (const run of runs.values()) run.stop()
+		for (const run of active.values()) run.stop()
 	}
 
 	/** Finds the occurrence of a task, whose name is ID.OCCURRENCE.STEP.INDEX. */
-	const runOfTask = (task: string) => runOf(Number(shortName(task).split(".")[0]))
+	const occurrenceOfTask = (task: string) => occurrenceOf(Number(shortName(task).split(".")[0]))
 
-	function noteTimesDone() {
+	function markEndedOccurrences() {
 		const countOf = new Map<number, number>()
 		for (const name of record.done) {
-			const time = Number(name.split(".")[0])
-			countOf.set(time, (countOf.get(time) ?? 0) + 1)
+			const index = Number(name.split(".")[0])
+			countOf.set(index, (countOf.get(index) ?? 0) + 1)
 		}
 		const tasks = record.steps.reduce((sum, {count}) => sum + count, 0)
-		if (times === 1) return
-		for (const [time, count] of countOf) if (count === tasks) endedTimes.add(time)
+		if (occurrences === 1) return
+		for (const [time, count] of countOf) if (count === tasks) endedOccurrences.add(time)
 	}
 
-	noteTimesDone()
+	markEndedOccurrences()
 	return {
 		record: () => record,
 		state: () => (hasStarted ? "running" : "pending"),
 		begin() {
 			if (hasBegun) return
 			hasBegun = true
-			if (endedTimes.size === times) over("completed", "all its times are done")
-			else beginTimes()
+			if (endedOccurrences.size === occurrences) finish("completed", "all its times are done")
+			else beginOccurrences()
 		},
 		adopt(task, run, executor) {
-			return !isOver && (runOfTask(task)?.adopt(task, run, executor) ?? false)
+			return !isOver && (occurrenceOfTask(task)?.adopt(task, run, executor) ?? false)
 		},
-		noteStrayEnd: (task, end) => (isOver ? undefined : runOfTask(task)?.noteStrayEnd(task, end)),
+		noteUnclaimedEnd: (task, end) =>
+			isOver ? undefined : occurrenceOfTask(task)?.noteUnclaimedEnd(task, end),
 		idleMs() {
-			const isIdle = runs.size > 0 && [...runs.values()].every(run => run.isIdle())
+			const isIdle = active.size > 0 && [...active.values()].every(run => run.isIdle())
 			if (!isIdle || isOver) idleSince = undefined
 			else idleSince ??= clock.now()
 			return idleSince === undefined ? 0 : clock.now() - idleSince
@@ -181,7 +183,7 @@
 		stop,
 		abandon() {
 			isOver = true
-			for (const run of runs.values()) run.abandon()
+			for (const run of active.values()) run.abandon()
 		},
 	}
 }
--- a/packages/jobs/src/keep/ledger.ts
+++ b/packages/jobs/src/keep/ledger.ts
@@ -20,24 +20,24 @@
 /** Maximum number of conditions, puts and removes in one transaction of the store. */
 const MAX_ENTRIES = 32
 /** The condition on the claim. */
-const GUARD_ENTRIES = 1
+const CLAIM_ENTRIES = 1
 /** Two conditions and a put, or a condition, a put and a remove. */
 const ENTRIES_PER_JOB = 3
-const MAX_JOBS = Math.floor((MAX_ENTRIES - GUARD_ENTRIES) / ENTRIES_PER_JOB)
+const MAX_JOBS_PER_TRANSACTION = Math.floor((MAX_ENTRIES - CLAIM_ENTRIES) / ENTRIES_PER_JOB)
 /** Allows 130 jobs/s when the store takes 300 ms to answer. */
-const MAX_UNDER_WAY = 4
+const MAX_IN_FLIGHT = 4
 /** Delay after a failed transaction, doubled up to the maximum. */
-const FIRST_PAUSE_MS = 40
-const LONGEST_PAUSE_MS = 320
+const MIN_RETRY_DELAY_MS = 40
+const MAX_RETRY_DELAY_MS = 320
 
 /** The key and revision of the claim on which all writes are conditional. */
-export interface Guard {
+export interface ClaimRevision {
 	readonly key: string
 	readonly revision: number
 }
 
 /** The result of a write. */
-export type Written = "written" | "exists" | "withdrawn" | "ended elsewhere" | "deposed"
+export type WriteOutcome = "written" | "exists" | "withdrawn" | "ended elsewhere" | "deposed"
 
 export interface LedgerDeps {
 	readonly clock: Clock
@@ -46,7 +46,7 @@
 	readonly metrics: JobMetrics
 	/** Differs between placers, and between sessions of one instance. */
 	readonly writer: string
-	readonly guard: Guard
+	readonly claimRevision: ClaimRevision
 	/** Minimum interval between transactions, from this placer's share of the store's write rate. */
 	readonly spacingMs: () => number
 	/** Called when the claim belongs to another placer; nothing more is written. */
@@ -59,23 +59,23 @@
 
 export interface Ledger {
 	/** Writes a new job's record; resolves to `exists` when there is one already. */
-	create(record: JobRecord): Promise<Written>
+	create(record: JobRecord): Promise<WriteOutcome>
 	/** Abandons a creation; false if it may have been done or may still be done. */
 	withdraw(id: string): boolean
 	/** Registers a record that is already in the store. */
 	adopt(record: JobRecord, revision: number): void
 	/** Writes the changed record. */
-	update(record: JobRecord): Promise<Written>
+	update(record: JobRecord): Promise<WriteOutcome>
 	/** Replaces the record by the job's end. */
-	finish(id: string, state: EndedState, endedAtMs: number): Promise<Written>
+	finish(id: string, state: EndedState, endedAtMs: number): Promise<WriteOutcome>
 	/** Writes the record with its new home and stops tracking the job. */
-	release(record: JobRecord): Promise<Written>
+	release(record: JobRecord): Promise<WriteOutcome>
 	close(): void
 }
 
 interface Waiter {
 	readonly version: number
-	readonly resolve: (written: Written) => void
+	readonly resolve: (written: WriteOutcome) => void
 }
 
 interface Entry {
@@ -89,10 +89,10 @@
 	revision: number
 	/** Number of the latest requested change. */
 	version: number
-	written: number
-	isUnderWay: boolean
+	writtenVersion: number
+	isInFlight: boolean
 	/** A write without an answer may have been done or may still be done. */
-	isFateOpen: boolean
+	isOutcomeUnknown: boolean
 	/** A missing record may then be the effect of an own write. */
 	isEndSent: boolean
 	readonly waiters: Waiter[]
@@ -100,16 +100,16 @@
 
 /** Creates the ledger of one placer. */
 export function createLedger(deps: LedgerDeps): Ledger {
-	const {clock, store, log, metrics, guard} = deps
+	const {clock, store, log, metrics, claimRevision: guard} = deps
 	const entries = new Map<string, Entry>()
 	let serial = 0
-	let underWay = 0
+	let inFlight = 0
 	let nextAt = -Infinity
-	let pauseMs = 0
-	let cancelPump: (() => void) | undefined
+	let retryDelayMs = 0
+	let cancelFlush: (() => void) | undefined
 	let isClosed = false
 
-	function entryOf(record: JobRecord, revision: number): Entry {
+	function addEntry(record: JobRecord, revision: number): Entry {
 		const entry: Entry = {
 			id: record.id,
 			tag: `${deps.writer}#${++serial}`,
@@ -118,9 +118,9 @@
 			isReleased: false,
 			revision,
 			version: 0,
-			written: 0,
-			isUnderWay: false,
-			isFateOpen: false,
+			writtenVersion: 0,
+			isInFlight: false,
+			isOutcomeUnknown: false,
 			isEndSent: false,
 			waiters: [],
 		}
@@ -128,110 +128,111 @@
 		return entry
 	}
 
-	function want(entry: Entry | undefined): Promise<Written> {
+	function requestWrite(entry: Entry | undefined): Promise<WriteOutcome> {
 		if (isClosed) return Promise.resolve("deposed")
 		if (!entry) return Promise.resolve("ended elsewhere")
 		entry.version++
-		pumpSoon()
+		scheduleFlush()
 		return new Promise(resolve => entry.waiters.push({version: entry.version, resolve}))
 	}
 
-	function pumpSoon() {
-		if (cancelPump || isClosed) return
-		cancelPump = clock.schedule(Math.max(0, nextAt - clock.now()), () => {
-			cancelPump = undefined
-			pump()
+	function scheduleFlush() {
+		if (cancelFlush || isClosed) return
+		cancelFlush = clock.schedule(Math.max(0, nextAt - clock.now()), () => {
+			cancelFlush = undefined
+			flush()
 		})
 	}
 
-	function pump() {
-		if (isClosed || underWay >= MAX_UNDER_WAY) return
+	function flush() {
+		if (isClosed || inFlight >= MAX_IN_FLIGHT) return
 		const due = [...entries.values()].filter(
-			entry => !entry.isUnderWay && entry.written < entry.version,
+			entry => !entry.isInFlight && entry.writtenVersion < entry.version,
 		)
 		if (due.length === 0) return
-		nextAt = clock.now() + Math.max(pauseMs, deps.spacingMs())
-		void send(due.slice(0, MAX_JOBS))
-		if (due.length > MAX_JOBS) pumpSoon()
+		nextAt = clock.now() + Math.max(retryDelayMs, deps.spacingMs())
+		void send(due.slice(0, MAX_JOBS_PER_TRANSACTION))
+		if (due.length > MAX_JOBS_PER_TRANSACTION) scheduleFlush()
 	}
 
 	async function send(batch: readonly Entry[]) {
-		underWay++
-		const versions = batch.map(versionSent)
+		inFlight++
+		const versions = batch.map(sentVersion)
 		for (const entry of batch) {
-			entry.isUnderWay = true
+			entry.isInFlight = true
 			entry.isEndSent ||= entry.end !== undefined && entry.revision > 0
 		}
-		const result = await store.transact(transactionOf(batch, deps))
-		underWay--
+		const result = await store.transact(buildTransaction(batch, deps))
+		inFlight--
 		for (const entry of batch) {
-			entry.isUnderWay = false
-			entry.isFateOpen ||= result.type === "unknown"
+			entry.isInFlight = false
+			entry.isOutcomeUnknown ||= result.type === "unknown"
 		}
 		metrics.count("ledger_writes", result.type)
 		if (isClosed) return
 		if (result.type === "done") {
-			pauseMs = 0
-			batch.forEach((entry, at) => noteDone(entry, versions[at] as number, result.revision))
-		} else if (result.type === "conflict") noteConflict(batch, result.current)
-		else noteFailure(result.type, batch.length)
-		pumpSoon()
+			retryDelayMs = 0
+			batch.forEach((entry, at) => handleDone(entry, versions[at] as number, result.revision))
+		} else if (result.type === "conflict") handleConflict(batch, result.current)
+		else handleFailure(result.type, batch.length)
+		scheduleFlush()
 	}
 
-	function noteFailure(outcome: string, count: number) {
-		pauseMs = Math.min(LONGEST_PAUSE_MS, Math.max(FIRST_PAUSE_MS, pauseMs * 2))
+	function handleFailure(outcome: string, count: number) {
+		retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, Math.max(MIN_RETRY_DELAY_MS, retryDelayMs * 2))
 		log.event("store", "ledger_write_failed", "store: retrying a failed write.", {outcome, count})
 	}
 
-	function noteDone(entry: Entry, version: number, revision: number) {
+	function handleDone(entry: Entry, version: number, revision: number) {
 		const hasEnded = entry.isEndSent
 		entry.revision = revision
-		entry.written = version
-		settle(entry, entry.written, "written")
-		if (hasEnded || (entry.isReleased && entry.written === entry.version)) drop(entry, "written")
+		entry.writtenVersion = version
+		resolveWaiters(entry, entry.writtenVersion, "written")
+		if (hasEnded || (entry.isReleased && entry.writtenVersion === entry.version))
+			drop(entry, "written")
 	}
 
-	function settle(entry: Entry, version: number, written: Written) {
+	function resolveWaiters(entry: Entry, version: number, written: WriteOutcome) {
 		while (entry.waiters[0] && entry.waiters[0].version <= version)
 			entry.waiters.shift()?.resolve(written)
 	}
 
-	function noteConflict(batch: readonly Entry[], current: readonly StoreItem[]) {
+	function handleConflict(batch: readonly Entry[], current: readonly StoreItem[]) {
 		const byKey = new Map(current.map(item => [item.key, item]))
 		if (byKey.get(guard.key)?.revision !== guard.revision) return depose()
 		for (const entry of batch) {
 			const open = byKey.get(openJobKey(entry.id))
 			if (open?.revision === entry.revision) continue
-			if (open) noteOther(entry, open)
-			else if (entry.revision > 0) noteGone(entry)
+			if (open) handleOtherRevision(entry, open)
+			else if (entry.revision > 0) handleMissing(entry)
 			else if (byKey.has(endedJobKey(entry.id))) drop(entry, "exists")
 		}
 	}
 
 	/** The revision differs after an own write without an answer, or a write by another. */
-	function noteOther(entry: Entry, open: StoreItem) {
+	function handleOtherRevision(entry: Entry, open: StoreItem) {
 		const stored = open.value as JobRecord
 		const [writer, version] = stored.writer.split("/")
 		if (writer === entry.tag) {
 			entry.revision = open.revision
-			entry.written = Math.max(entry.written, Number(version))
-			return settle(entry, entry.written, "written")
+			entry.writtenVersion = Math.max(entry.writtenVersion, Number(version))
+			return resolveWaiters(entry, entry.writtenVersion, "written")
 		}
 		if (entry.revision === 0) return drop(entry, "exists")
-		if (stored.home !== entry.record.home) return noteGone(entry)
+		if (stored.home !== entry.record.home) return handleMissing(entry)
 		entry.revision = open.revision
 		if (stored.isCancelled) deps.onCancelAsked(entry.id)
 	}
 
-	function noteGone(entry: Entry) {
+	function handleMissing(entry: Entry) {
 		if (entry.isEndSent || entry.isReleased) return drop(entry, "written")
 		drop(entry, "ended elsewhere")
 		deps.onGone(entry.id)
 	}
 
-	function drop(entry: Entry, written: Written) {
+	function drop(entry: Entry, written: WriteOutcome) {
 		entries.delete(entry.id)
-		settle(entry, Infinity, written)
+		resolveWaiters(entry, Infinity, written)
 	}
 
 	function depose() {
@@ -243,50 +244,53 @@
 
 	function close() {
 		isClosed = true
-		cancelPump?.()
+		cancelFlush?.()
 		for (const entry of [...entries.values()]) drop(entry, "deposed")
 	}
 
 	return {
 		create(record) {
 			const known = entries.get(record.id)
-			if (!known) return want(entryOf(record, 0))
+			if (!known) return requestWrite(addEntry(record, 0))
 			if (known.revision > 0) return Promise.resolve("exists")
 			// A repeated creation gets the result of the write in flight.
 			return new Promise(resolve => known.waiters.push({version: known.version, resolve}))
 		},
 		withdraw(id) {
 			const entry = entries.get(id)
-			if (!entry || entry.revision > 0 || entry.isUnderWay || entry.isFateOpen) return false
+			if (!entry || entry.revision > 0 || entry.isInFlight || entry.isOutcomeUnknown) return false
 			drop(entry, "withdrawn")
 			return true
 		},
-		adopt: (record, revision) => void entryOf(record, revision),
+		adopt: (record, revision) => void addEntry(record, revision),
 		update(record) {
 			const entry = entries.get(record.id)
 			if (entry) entry.record = record
-			return want(entry)
+			return requestWrite(entry)
 		},
 		finish(id, state, endedAtMs) {
 			const entry = entries.get(id)
 			if (entry) entry.end = {state, endedAtMs}
-			return want(entry)
+			return requestWrite(entry)
 		},
 		release(record) {
 			const entry = entries.get(record.id)
 			if (entry) Object.assign(entry, {record, isReleased: true})
-			return want(entry)
+			return requestWrite(entry)
 		},
 		close,
 	}
 }
 
 /** A creation writes only the record; a requested end follows in the next transaction. */
-function versionSent({revision, end, version}: Entry): number {
+function sentVersion({revision, end, version}: Entry): number {
 	return revision === 0 && end ? version - 1 : version
 }
 
-function transactionOf(batch: readonly Entry[], {guard}: LedgerDeps): Transaction {
+function buildTransaction(
+	batch: readonly Entry[],
+	{claimRevision: guard}: LedgerDeps,
+): Transaction {
 	const expect = [{key: guard.key, revision: guard.revision}]
 	const puts: {key: string; value: unknown}[] = []
 	const removes: string[] = []
@@ -298,7 +302,7 @@
 			puts.push({key: endedJobKey(id), value: end})
 			removes.push(openJobKey(id))
 		} else {
-			const value = {...record, writer: `${entry.tag}/${versionSent(entry)}`}
+			const value = {...record, writer: `${entry.tag}/${sentVersion(entry)}`}
 			puts.push({key: openJobKey(id), value})
 		}
 	}
--- a/packages/jobs/src/keep/open-jobs.ts
+++ b/packages/jobs/src/keep/open-jobs.ts
@@ -8,7 +8,7 @@
 import type {KeptJob} from "./kept-job.js"
 
 /** Longer than any read of the store can take. */
-const REMEMBER_MS = 10_000
+const RETAIN_MS = 10_000
 
 export interface OpenJobs {
 	get(id: string): KeptJob | undefined
@@ -27,8 +27,8 @@
 	/** In the order of leaving. */
 	const leftAt = new Map<string, number>()
 
-	function forgetOld() {
-		const before = clock.now() - REMEMBER_MS
+	function dropExpired() {
+		const before = clock.now() - RETAIN_MS
 		for (const [id, at] of leftAt) {
 			if (at >= before) return
 			leftAt.delete(id)
@@ -45,7 +45,7 @@
 			jobs.delete(id)
 			leftAt.delete(id)
 			leftAt.set(id, clock.now())
-			forgetOld()
+			dropExpired()
 		},
 		hasLeftSince: (id, since) => (leftAt.get(id) ?? -Infinity) >= since,
 	}
--- a/packages/jobs/src/keep/sweeper.ts
+++ b/packages/jobs/src/keep/sweeper.ts
@@ -7,9 +7,9 @@
 import type {WallClock} from "../utils/wall-clock.js"
 
 /** Interval between sweeps; each reads all ends. */
-const SWEEP_MS = 60_000
+const SWEEP_INTERVAL_MS = 60_000
 /** Allowance for differences between the machines' times of day. */
-const MARGIN_MS = 60_000
+const CLOCK_MARGIN_MS = 60_000
 /** Maximum number of removes in one transaction of the store. */
 const MAX_REMOVES = 32
 
@@ -19,21 +19,21 @@
 	readonly store: TransactionalStore
 	readonly log: EventLog
 	/** How long an end can be queried, in milliseconds. */
-	readonly keepMs: number
+	readonly retentionMs: number
 	readonly isOnDuty: () => boolean
 }
 
 /** Sweeps until it is closed. */
-export function beginSweeping(deps: SweeperDeps): {close(): void} {
-	const {clock, wall, store, log, keepMs} = deps
+export function startSweeper(deps: SweeperDeps): {close(): void} {
+	const {clock, wall, store, log, retentionMs: keepMs} = deps
 	let isClosed = false
 
-	const isOver = ({value}: StoreItem) =>
-		wall.now() - (value as EndRecord).endedAtMs > keepMs + MARGIN_MS
+	const isExpired = ({value}: StoreItem) =>
+		wall.now() - (value as EndRecord).endedAtMs > keepMs + CLOCK_MARGIN_MS
 
 	async function sweep() {
 		const listing = await store.list(ENDED_JOBS_PREFIX)
-		const old = (listing?.items ?? []).filter(isOver).map(({key}) => key)
+		const old = (listing?.items ?? []).filter(isExpired).map(({key}) => key)
 		for (let at = 0; at < old.length && !isClosed; at += MAX_REMOVES) {
 			const removes = old.slice(at, at + MAX_REMOVES)
 			await store.transact({expect: [], puts: [], removes})
@@ -44,7 +44,7 @@
 
 	async function loop() {
 		while (!isClosed) {
-			await clock.sleep(SWEEP_MS)
+			await clock.sleep(SWEEP_INTERVAL_MS)
 			if (!isClosed && deps.isOnDuty()) await sweep()
 		}
 	}
--- a/packages/jobs/test/keeper.test.ts
+++ b/packages/jobs/test/keeper.test.ts
@@ -59,7 +59,7 @@
 			spacingMs: () => 10,
 			queueOf: () => QUEUE,
 			domainWithRoom: () => undefined,
-			tellHome: () => undefined,
+			notifyHome: () => undefined,
 			onDeposed: () => void deposed++,
 			...extra,
 		})
@@ -466,7 +466,7 @@
 		const told: string[] = []
 		const {keeper} = world.beginPlacing({
 			domainWithRoom: () => ({failureDomain: "b", fence: 9, placer: far}),
-			tellHome: (claim, id) => void told.push(`${claim.failureDomain} ${id}`),
+			notifyHome: (claim, id) => void told.push(`${claim.failureDomain} ${id}`),
 		})
 		await world.clock.advance(200)
 		await accept(world, keeper, job({id: "00000000000000bb", steps: [step({count: 6})]}))
--- a/packages/jobs/test/ledger.test.ts
+++ b/packages/jobs/test/ledger.test.ts
@@ -25,7 +25,7 @@
 		log: silentLog,
 		metrics: createJobMetrics(),
 		writer: "me:1",
-		guard,
+		claimRevision: guard,
 		spacingMs: () => 10,
 		onDeposed: () => void seen.deposed++,
 		onCancelAsked: id => void seen.cancelAsked.push(id),
