--- a/packages/jobs/src/figures.ts
+++ b/packages/jobs/src/instance-metrics.ts
@@ -5,18 +5,18 @@
 import type {HostedPlacers} from "./coordinate/hosted-placers.js"
 import type {Configuration} from "./fleet/configuration.js"
 import type {JobMetrics} from "./utils/metrics.js"
-import type {News} from "./utils/news.js"
+import type {InputWatermark} from "./utils/input-watermark.js"
 
 /** Interval between measurements of timer lateness. */
-const LOOP_PROBE_MS = 500
+const TIMER_PROBE_MS = 500
 
 /** Registers the gauges, and measures timer lateness for the lifetime of the process. */
-export function publishFigures(
+export function registerInstanceMetrics(
 	clock: Clock,
 	metrics: JobMetrics,
 	hosts: HostedPlacers,
 	store: Store,
-	news: News,
+	news: InputWatermark,
 	config: Configuration,
 ) {
 	metrics.gauge("tasks_waiting", () => hosts.counts().waiting)
@@ -26,16 +26,16 @@
 	metrics.gauge("kept_jobs", () => hosts.counts().kept)
 	metrics.gauge("config_version", () => config.current()?.version ?? 0)
 	metrics.gauge("config_heard_ms", () => Math.round(config.heardMs()))
-	metrics.gauge("news_age_ms", () => Math.round(clock.now() - news.knownAt()))
+	metrics.gauge("news_age_ms", () => Math.round(clock.now() - news.readUpTo()))
 	metrics.gauge("store_silent_ms", () => store.silentMs())
-	probeLoop(clock, metrics)
+	measureTimerLateness(clock, metrics)
 }
 
 /** Late timers show an overloaded or slow machine. */
-function probeLoop(clock: Clock, metrics: JobMetrics) {
-	const due = clock.now() + LOOP_PROBE_MS
-	clock.schedule(LOOP_PROBE_MS, () => {
+function measureTimerLateness(clock: Clock, metrics: JobMetrics) {
+	const due = clock.now() + TIMER_PROBE_MS
+	clock.schedule(TIMER_PROBE_MS, () => {
 		metrics.observe("loop_delay_ms", clock.now() - due)
-		probeLoop(clock, metrics)
+		measureTimerLateness(clock, metrics)
 	})
 }
--- a/packages/jobs/src/instance.ts
+++ b/packages/jobs/src/instance.ts
@@ -30,8 +30,8 @@
 import {beginRegistration} from "./fleet/registration.js"
 import {speedStoreOpenerFor} from "./fleet/speed-store.js"
 import {createLagMonitor} from "./fleet/lag-monitor.js"
-import {publishFigures} from "./figures.js"
-import {createOwnClaims, followExecutors, followFleet, servedBy} from "./followers.js"
+import {registerInstanceMetrics} from "./instance-metrics.js"
+import {createOwnClaims, ofConfiguredServices, watchExecutors, watchFleet} from "./store-watches.js"
 import type {KeptJobRouter} from "./keep/kept-job-router.js"
 import {createKeptJobService} from "./keep/kept-job-service.js"
 import type {LeaseRule} from "./decide/lease-rule.js"
@@ -44,10 +44,10 @@
 import type {PlacingSettings} from "./types/placing.js"
 import {shortSession, type EventLog} from "./utils/log.js"
 import type {JobMetrics} from "./utils/metrics.js"
-import {watchNews} from "./utils/news.js"
+import {trackInputWatermark} from "./utils/input-watermark.js"
 
 /** A missing clock reading of the home placer; other placers are then contacted in advance. */
-const HOME_OVERDUE_MS = 150
+const HOME_QUIET_LIMIT_MS = 150
 
 export interface InstanceSettings {
 	readonly name: string
@@ -122,7 +122,7 @@
 	let claims: ClaimsLoop | undefined = undefined
 	let isListed = false
 	const strain = createLagMonitor(clock)
-	const news = watchNews(clock)
+	const watermark = trackInputWatermark(clock)
 	const evacuations = createEvacuations({...deps, onChange: () => hosts.noteEvacuations()})
 	const onInForce = () => executors.notifyAgain()
 	const config = followConfiguration({...deps, clock, onInForce, evacuations})
@@ -130,11 +130,11 @@
 	const peers = createPeers(metrics)
 	const ownClaims = createOwnClaims(self)
 	function noteClaim(claim: Claim) {
-		noteClaimKnown(log, claim)
+		logClaim(log, claim)
 		hosts.noteClaim(claim)
-		if (ownClaims.take(claim)) executors.readNow()
+		if (ownClaims.update(claim)) executors.readNow()
 	}
-	const view = createFleetView(clock, noteClaim, (reason, claim) => noteBroken(deps, reason, claim))
+	const view = createFleetView(clock, noteClaim, (reason, claim) => logInvalid(deps, reason, claim))
 	const {isUnderWay: isEvacuated} = evacuations
 	const common = {clock, peers, view, self, log, metrics}
 	const {rooms, ...wholeJobs} = createWholeJobMoves({...common, isEvacuated}, placing)
@@ -145,7 +145,7 @@
 		leaseRule,
 		overflow,
 		executorsPerPlacer: placing.executorsPerPlacer,
-		executorsOf: domain => servedBy(executors.recordsOf(domain), config.current()),
+		executorsOf: domain => ofConfiguredServices(executors.recordsOf(domain), config.current()),
 		isPlacing: name => hosts.of(name) !== undefined,
 		isLeaving: () => isLeaving,
 	})
@@ -157,7 +157,7 @@
 		stopGraceMs: settings.stopGraceMs,
 		handOver: item => overflow.handOver(item),
 		onRoomChange: () => beats.noteRoomChange(),
-		createKeeper: (claim, onDeposed) => keptParts.createKeeper(claim, onDeposed),
+		createKeeper: (claim, onDeposed) => keptJobs.createKeeper(claim, onDeposed),
 		executorsOf: slicing.executorsOf,
 		slices: slicing,
 		isEvacuated,
@@ -177,7 +177,7 @@
 		rescheduleLostJob: placing.placesAnew ? createRescheduler({...common, leaseRule}) : undefined,
 	})
 
-	const keptParts = createKeptJobService({
+	const keptJobs = createKeptJobService({
 		...deps,
 		clock,
 		peers,
@@ -190,7 +190,7 @@
 		queueOf: name => config.current()?.queues.find(queue => queue.name === name),
 	})
 
-	const executors = followExecutors(clock, deps, hosts, ownClaims, config.current)
+	const executors = watchExecutors(clock, deps, hosts, ownClaims, config.current)
 
 	const beatNews = createHeartbeatHandler({
 		...common,
@@ -201,7 +201,7 @@
 		isLeaving: () => isLeaving,
 	})
 
-	const fleetFollower = followFleet(clock, deps, view, () => {
+	const fleetFollower = watchFleet(clock, deps, view, () => {
 		isListed = true
 		claims?.checkNow()
 	})
@@ -213,12 +213,12 @@
 		runJob: (message, caller) => dispatcher.runJob(message, caller),
 		runTask: (message, caller) => dispatcher.runTask(message, caller),
 		takeOver: message => handover.takeOver(message),
-		kept: message => keptParts.router.answer(message),
+		kept: message => keptJobs.router.answer(message),
 	})
 	const datagrams = await openDatagrams(
 		self.address,
 		message => beats.receive(message as FleetDatagram),
-		error => noteDatagramError(deps, error),
+		error => logDatagramError(deps, error),
 	)
 	const beats = createHeartbeats({
 		...common,
@@ -232,7 +232,7 @@
 	})
 	function isHomeQuiet(): boolean {
 		const home = view.claimOf(self.failureDomain)?.placer
-		return home !== undefined && peers.quietMs(home.address) > HOME_OVERDUE_MS
+		return home !== undefined && peers.quietMs(home.address) > HOME_QUIET_LIMIT_MS
 	}
 
 	const registration = beginRegistration(self, {clock, store, log})
@@ -258,18 +258,18 @@
 	})
 
 	if (isListed) claims.checkNow()
-	publishFigures(clock, metrics, hosts, store, news, config)
+	registerInstanceMetrics(clock, metrics, hosts, store, watermark, config)
 
 	return {
 		config: config.current,
 		dispatch: dispatcher.dispatch,
-		trackConnection: news.noteAccepted,
-		kept: keptParts.router,
+		trackConnection: watermark.trackConnection,
+		kept: keptJobs.router,
 		notReadyCause: () => notReadyCauseOf(isLeaving, config.current(), dispatcher),
 		isLeaving: () => isLeaving,
 		async leave() {
 			isLeaving = true
-			noteLeaving(log, dispatcher.workCount())
+			logLeaving(log, dispatcher.workCount())
 			await handover.handOverAll()
 		},
 		isWorking: () => dispatcher.workCount() > 0,
@@ -277,11 +277,11 @@
 			await registration.end()
 			const deciding = [
 				strain,
-				news,
+				watermark,
 				claims as ClaimsLoop,
 				handover,
 				slicing,
-				keptParts,
+				keptJobs,
 				beats,
 				config,
 			]
@@ -319,13 +319,13 @@
 	return dispatcher.canPlace() ? undefined : "no placer can be reached"
 }
 
-function noteClaimKnown(log: EventLog, {failureDomain, fence, placer}: Claim) {
+function logClaim(log: EventLog, {failureDomain, fence, placer}: Claim) {
 	const fields = {failureDomain, fence, peer: placer.name, session: shortSession(placer.session)}
 	log.event("fleet", "claim_known", "fleet: a claim is in force.", fields)
 }
 
 /** Reports an invalid claim of a peer; the previous claim stays in force. */
-function noteBroken({metrics, log}: InstanceDeps, reason: InvalidReport, claim: Claim | undefined) {
+function logInvalid({metrics, log}: InstanceDeps, reason: InvalidReport, claim: Claim | undefined) {
 	metrics.count("broken_assumptions", reason)
 	if (!claim) return
 	const {failureDomain, fence, placer} = claim
@@ -333,11 +333,11 @@
 	log.alarm("fleet", "claim_dropped", "fleet: ignored a claim that no slice can have.", fields)
 }
 
-function noteDatagramError({metrics, log}: InstanceDeps, error: Error) {
+function logDatagramError({metrics, log}: InstanceDeps, error: Error) {
 	metrics.count("broken_assumptions", "datagram")
 	log.event("fleet", "datagram_failed", "fleet: datagram error.", {cause: error.message})
 }
 
-function noteLeaving(log: EventLog, count: number) {
+function logLeaving(log: EventLog, count: number) {
 	log.alarm("instance", "leaving", "instance: finishing work in progress.", {count})
 }
--- a/packages/jobs/src/followers.ts
+++ b/packages/jobs/src/store-watches.ts
@@ -16,12 +16,12 @@
 /** Heartbeats report claims sooner, and members change seldom. */
 const FLEET_WATCH_MS = 5_000
 /** A listing of 100 members and claims is some 40 KB, so 0.7 KB/s. */
-const FLEET_WHOLE_MS = 60_000
+const FLEET_RELIST_MS = 60_000
 
 /** Claims in this instance's name, including those of its previous process, which it takes back. */
 export interface OwnClaims {
 	/** Applies a claim; returns whether its failure domain is new in this instance's name. */
-	take(claim: Claim): boolean
+	update(claim: Claim): boolean
 	/** Whether any claim has this instance's name. */
 	hasAny(): boolean
 }
@@ -29,7 +29,7 @@
 export function createOwnClaims({name}: Member): OwnClaims {
 	const domains = new Set<string>()
 	return {
-		take({failureDomain, placer}) {
+		update({failureDomain, placer}) {
 			const wasOwn = domains.has(failureDomain)
 			if (placer.name === name) domains.add(failureDomain)
 			else domains.delete(failureDomain)
@@ -40,7 +40,7 @@
 }
 
 /** The store, and how its executor entries are decoded. */
-interface Followed {
+interface WatchSource {
 	readonly store: Store
 	readonly log: EventLog
 	readonly metrics: JobMetrics
@@ -49,9 +49,9 @@
 }
 
 /** Watches members and claims in the store. */
-export function followFleet(
+export function watchFleet(
 	clock: Clock,
-	{store, log}: Followed,
+	{store, log}: WatchSource,
 	view: FleetView,
 	onListed: () => void,
 ): Follower {
@@ -61,7 +61,7 @@
 		log,
 		prefix: FLEET_PREFIX,
 		waitMs: FLEET_WATCH_MS,
-		relistMs: FLEET_WHOLE_MS,
+		relistMs: FLEET_RELIST_MS,
 		onListing({items}) {
 			view.applyListing(items)
 			onListed()
@@ -74,9 +74,9 @@
  * Watches the platform's list of executors while this instance places a failure domain or has a
  * claim of its previous process, so that a restarted fleet reads it while claims are written.
  */
-export function followExecutors(
+export function watchExecutors(
 	clock: Clock,
-	{store, log, metrics, executorPrefix, decodeExecutor}: Followed,
+	{store, log, metrics, executorPrefix, decodeExecutor}: WatchSource,
 	hosts: HostedPlacers,
 	ownClaims: OwnClaims,
 	config: () => FleetConfig | undefined,
@@ -88,13 +88,13 @@
 		metrics,
 		prefix: executorPrefix,
 		decode: decodeExecutor,
-		onList: records => hosts.setExecutors(servedBy(records, config())),
+		onList: records => hosts.setExecutors(ofConfiguredServices(records, config())),
 		isNeeded: () => hosts.isPlacing() || ownClaims.hasAny(),
 	})
 }
 
 /** Excludes entries of unknown services, which another system writes. */
-export function servedBy(
+export function ofConfiguredServices(
 	records: readonly ExecutorRecord[],
 	config: FleetConfig | undefined,
 ): readonly ExecutorRecord[] {
--- a/packages/jobs/src/utils/news.ts
+++ b/packages/jobs/src/utils/input-watermark.ts
@@ -8,31 +8,31 @@
 import type {Clock} from "@cottonwood/core"
 
 /** Half the interval between the clock readings of a placer. */
-const LOOK_MS = 50
+const UPDATE_INTERVAL_MS = 50
 /** Turns of the event loop in which the end of an open connection is read and handled. */
 const TURNS = 3
 
-export interface News {
+export interface InputWatermark {
 	/**
 	 * Milliseconds on the monotonic clock: everything that arrived before then on open connections
 	 * has been read.
 	 */
-	knownAt(): number
+	readUpTo(): number
 	/**
 	 * Registers a connection that was just accepted; returns its watermark. Until its data has been
 	 * read, that is the last time at which no connection waited to be accepted: each turn of the
 	 * event loop accepts one.
 	 */
-	noteAccepted(): () => number
+	trackConnection(): () => number
 	close(): void
 }
 
-export function watchNews(
+export function trackInputWatermark(
 	clock: Clock,
 	nextTurn: (callback: () => void) => unknown = setImmediate,
-): News {
-	let knownAt = clock.now()
-	let noneWaitedAt = knownAt
+): InputWatermark {
+	let readUpTo = clock.now()
+	let queueEmptyAt = readUpTo
 	let accepted = 0
 	let isClosed = false
 
@@ -42,32 +42,32 @@
 	}
 
 	/** A turn that accepts no connection shows that none waited when it began. */
-	function lookForWaiting() {
+	function findTurnWithoutAccept() {
 		const at = clock.now()
 		const before = accepted
 		nextTurn(() => {
-			if (accepted === before) noneWaitedAt = at
-			else lookForWaiting()
+			if (accepted === before) queueEmptyAt = at
+			else findTurnWithoutAccept()
 		})
 	}
 
-	function look() {
+	function update() {
 		const at = clock.now()
-		lookForWaiting()
+		findTurnWithoutAccept()
 		afterTurns(TURNS, () => {
-			knownAt = at
-			if (!isClosed) clock.schedule(LOOK_MS, look)
+			readUpTo = at
+			if (!isClosed) clock.schedule(UPDATE_INTERVAL_MS, update)
 		})
 	}
 
-	look()
+	update()
 	return {
-		knownAt: () => knownAt,
-		noteAccepted() {
+		readUpTo: () => readUpTo,
+		trackConnection() {
 			accepted++
 			const acceptedAt = clock.now()
-			const arrivedAfter = noneWaitedAt
-			return () => (knownAt >= acceptedAt ? knownAt : arrivedAfter)
+			const arrivedAfter = queueEmptyAt
+			return () => (readUpTo >= acceptedAt ? readUpTo : arrivedAfter)
 		},
 		close() {
 			isClosed = true
--- a/packages/jobs/src/utils/log.ts
+++ b/packages/jobs/src/utils/log.ts
@@ -100,13 +100,13 @@
 	typeof fields === "function" ? fields() : fields
 
 /** Enough of a session to tell the fleet's processes apart. */
-const LIFE_SIGNS = 8
+const SHORT_SESSION_CHARS = 8
 
 /** Shortens a session for log lines. */
 export function shortSession(session: string): string
 export function shortSession(session: string | undefined): string | undefined
 export function shortSession(session: string | undefined): string | undefined {
-	return session?.slice(0, LIFE_SIGNS)
+	return session?.slice(0, SHORT_SESSION_CHARS)
 }
 
 export interface LogSettings {
@@ -116,7 +116,7 @@
 }
 
 /** Maximum buffered size; further lines are dropped. */
-const BUFFER_BYTES = 1_000_000
+const MAX_BUFFERED_BYTES = 1_000_000
 /** Above a kind's rate one line in this many is written. */
 const SAMPLE_ONE_IN = 20
 const SECOND_MS = 1_000
@@ -157,7 +157,7 @@
 
 	override log(info: Record<symbol, string>, next: () => void) {
 		const line = `${info[MESSAGE]}\n`
-		if (this.waitingBytes + line.length > BUFFER_BYTES) this.dropped++
+		if (this.waitingBytes + line.length > MAX_BUFFERED_BYTES) this.dropped++
 		else {
 			this.chunks.push(line)
 			this.waitingBytes += line.length
@@ -220,7 +220,7 @@
 	const logger = winston.createLogger({format: plainJson(), transports: [output]})
 	const rates = new Map<string, KindRate>()
 
-	function isKept(kind: string): KindRate | undefined {
+	function admit(kind: string): KindRate | undefined {
 		const now = performance.now()
 		let rate = rates.get(kind)
 		if (!rate) rates.set(kind, (rate = {since: now, lines: 0, skipped: 0}))
@@ -242,7 +242,7 @@
 
 	return {
 		event(part, kind, message, fields = {}) {
-			const rate = isKept(kind)
+			const rate = admit(kind)
 			if (!rate) return
 			const sampledOut = rate.skipped > 0 ? {sampledOut: rate.skipped} : {}
 			rate.skipped = 0
--- a/packages/jobs/src/utils/metrics.ts
+++ b/packages/jobs/src/utils/metrics.ts
@@ -81,7 +81,7 @@
 const BUCKETS_MS = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000]
 
 /** Counts are copied on request: prom-client's own increments look up labels each time. */
-function tellCounts(
+function registerCounter(
 	registry: Registry,
 	{name, help}: {readonly name: string; readonly help: string},
 	counts: ReadonlyMap<string, number>,
@@ -105,7 +105,7 @@
 	for (const [name, help] of Object.entries(COUNTERS)) {
 		const counts = new Map<string, number>()
 		counters.set(name, counts)
-		tellCounts(registry, {name: PREFIX + name, help}, counts)
+		registerCounter(registry, {name: PREFIX + name, help}, counts)
 	}
 	const timings = new Map<string, Histogram>()
 	for (const [name, help] of Object.entries(TIMINGS)) {
--- a/packages/jobs/src/utils/wall-clock.ts
+++ b/packages/jobs/src/utils/wall-clock.ts
@@ -7,10 +7,10 @@
 import type {Clock} from "@cottonwood/core"
 
 /** Tolerance for the small steps in which a machine's time of day is corrected. */
-const AGREE_MS = 150
+const TOLERANCE_MS = 150
 /** A changed offset is adopted after this time; jumps last a few seconds. */
 const SETTLE_MS = 15_000
-const SAMPLE_MS = 1_000
+const SAMPLE_INTERVAL_MS = 1_000
 
 export interface WallClock {
 	/** Milliseconds since 1970. */
@@ -25,11 +25,11 @@
 
 	function sample() {
 		const seen = read() - clock.now()
-		if (Math.abs(seen - candidate) > AGREE_MS) candidateSince = clock.now()
+		if (Math.abs(seen - candidate) > TOLERANCE_MS) candidateSince = clock.now()
 		candidate = seen
-		const isSmall = Math.abs(seen - offset) <= AGREE_MS
+		const isSmall = Math.abs(seen - offset) <= TOLERANCE_MS
 		if (isSmall || clock.now() - candidateSince >= SETTLE_MS) offset = seen
-		clock.schedule(SAMPLE_MS, sample)
+		clock.schedule(SAMPLE_INTERVAL_MS, sample)
 	}
 
 	sample()
--- a/packages/jobs/test/after-a-loss.test.ts
+++ b/packages/jobs/test/after-a-loss.test.ts
@@ -161,21 +161,21 @@
 	it("ask for the list of executors from the life before on, once", () => {
 		const self = member("a-1", 2)
 		const claims = createOwnClaims(self)
-		expect(claims.take({failureDomain: "b", fence: 1, placer: member("b-1", 1, "b")})).to.equal(
+		expect(claims.update({failureDomain: "b", fence: 1, placer: member("b-1", 1, "b")})).to.equal(
 			false,
 		)
 		expect(claims.hasAny()).to.equal(false)
-		expect(claims.take({failureDomain: "a", fence: 1, placer: member("a-1", 1)})).to.equal(true)
+		expect(claims.update({failureDomain: "a", fence: 1, placer: member("a-1", 1)})).to.equal(true)
 		expect(claims.hasAny()).to.equal(true)
-		expect(claims.take({failureDomain: "a", fence: 2, placer: self})).to.equal(false)
+		expect(claims.update({failureDomain: "a", fence: 2, placer: self})).to.equal(false)
 	})
 
 	it("ask for nothing once somebody else has the domain", () => {
 		const claims = createOwnClaims(member("a-1", 2))
-		claims.take({failureDomain: "a", fence: 1, placer: member("a-1", 1)})
-		expect(claims.take({failureDomain: "a", fence: 2, placer: member("a-2", 1)})).to.equal(false)
+		claims.update({failureDomain: "a", fence: 1, placer: member("a-1", 1)})
+		expect(claims.update({failureDomain: "a", fence: 2, placer: member("a-2", 1)})).to.equal(false)
 		expect(claims.hasAny()).to.equal(false)
-		expect(claims.take({failureDomain: "a", fence: 3, placer: member("a-1", 2)})).to.equal(true)
+		expect(claims.update({failureDomain: "a", fence: 3, placer: member("a-1", 2)})).to.equal(true)
 	})
 })
 
--- a/packages/jobs/test/news.test.ts
+++ b/packages/jobs/test/input-watermark.test.ts
@@ -1,12 +1,12 @@
 /** How old what an instance knows may be, by the turns of its loop. */
-import {watchNews} from "@cottonwood/jobs/internals"
+import {trackInputWatermark} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
 
 function createWorld() {
 	const clock = createFakeClock()
 	const turns: (() => void)[] = []
-	const news = watchNews(clock, callback => turns.push(callback))
+	const news = trackInputWatermark(clock, callback => turns.push(callback))
 	const turn = () => {
 		for (const callback of turns.splice(0)) callback()
 	}
@@ -21,9 +21,9 @@
 		await clock.advance(60)
 		turn()
 		turn()
-		expect(news.knownAt()).to.equal(begunAt)
+		expect(news.readUpTo()).to.equal(begunAt)
 		turn()
-		expect(news.knownAt()).to.equal(begunAt + 50)
+		expect(news.readUpTo()).to.equal(begunAt + 50)
 	})
 
 	it("stay as old as they are while the process stands still", async () => {
@@ -33,9 +33,9 @@
 		clock.freeze(3_000)
 		// Timers come first after a standstill; what lay in the connections is read after them.
 		await clock.advance(0)
-		expect(news.knownAt()).to.equal(begunAt)
+		expect(news.readUpTo()).to.equal(begunAt)
 		for (let at = 0; at < 3; at++) turn()
-		expect(news.knownAt()).to.equal(begunAt + 3_000)
+		expect(news.readUpTo()).to.equal(begunAt + 3_000)
 	})
 })
 
@@ -47,15 +47,15 @@
 		clock.freeze(3_000)
 		await clock.advance(0)
 		// Two connections waited; each turn of the loop accepts one.
-		const first = news.noteAccepted()
+		const first = news.trackConnection()
 		turn()
-		const second = news.noteAccepted()
+		const second = news.trackConnection()
 		turn()
 		turn()
-		expect(news.knownAt()).to.equal(begunAt + 3_000)
+		expect(news.readUpTo()).to.equal(begunAt + 3_000)
 		expect(first(), "looked at").to.equal(begunAt + 3_000)
 		await clock.advance(1)
-		const third = news.noteAccepted()
+		const third = news.trackConnection()
 		expect(third(), "accepted after the look").to.be.at.most(begunAt + 3_000)
 		expect(second()).to.equal(begunAt + 3_000)
 	})
@@ -69,13 +69,13 @@
 		const late = []
 		for (let at = 0; at < 6; at++) {
 			clock.freeze(1)
-			late.push(news.noteAccepted())
+			late.push(news.trackConnection())
 			turn()
 		}
-		expect(news.knownAt()).to.equal(begunAt + 3_000)
+		expect(news.readUpTo()).to.equal(begunAt + 3_000)
 		for (const known of late) expect(known()).to.equal(begunAt)
 		turn()
 		clock.freeze(1)
-		expect(news.noteAccepted()()).to.be.greaterThan(begunAt + 3_000)
+		expect(news.trackConnection()()).to.be.greaterThan(begunAt + 3_000)
 	})
 })
