--- a/packages/wire/src/json-client.ts
+++ b/packages/wire/src/json-client.ts
@@ -13,9 +13,9 @@
 	encode,
 	decode,
 	exchangePath,
-	roundedDown,
+	floorToTenth,
 	type AnswerFrame,
-	type CallerFrame,
+	type ClientFrame,
 	type ServerFrame,
 } from "./json-frames.js"
 import {createPeerClock} from "./peer-clock.js"
@@ -24,15 +24,15 @@
  * Time limit of an attempt to connect, doubled with each failure: a lost first packet is repeated
  * only after seconds, but a connection to an overloaded machine takes seconds too.
  */
-const ESTABLISH_MS = 300
-const LONGEST_ESTABLISH_MS = 4_800
+const MIN_CONNECT_TIMEOUT_MS = 300
+const MAX_CONNECT_TIMEOUT_MS = 4_800
 /**
  * Pause after failed attempts. Each leaves a socket behind for two minutes, so a peer has less than
  * a hundred.
  */
-const LONGEST_PAUSE_MS = 2_000
+const MAX_CONNECT_PAUSE_MS = 2_000
 /** A peer that is heard after this silence was cut off, so a pending attempt is replaced. */
-const SILENCE_MS = 600
+const CUT_OFF_MS = 600
 
 /** The result of a call. */
 export type JsonReply =
@@ -81,7 +81,7 @@
 }
 
 /** A pending call. */
-interface Pending {
+interface PendingCall {
 	readonly id: number
 	readonly method: string
 	readonly message: unknown
@@ -91,26 +91,26 @@
 	/** Milliseconds on the monotonic clock; undefined until the call was sent. */
 	sentAt: number | undefined
 	/** The latest time as of which the server was told that the call is wanted. */
-	wantedAt: number
+	lastConfirmedAt: number
 }
 
 /** One stream and its pending calls. */
 interface Exchange {
-	readonly begin: (call: Pending) => void
-	readonly cancel: (call: Pending, cause: string) => void
+	readonly begin: (call: PendingCall) => void
+	readonly cancel: (call: PendingCall, cause: string) => void
 	readonly quietMs: () => number
 	/** Starts another attempt to connect, unless the stream is connected. */
-	readonly connectAnew: () => void
+	readonly reconnect: () => void
 	readonly close: () => void
 }
 
 /** Part of the error text of grpc-js for a refused connection. */
-const REFUSED = "ECONNREFUSED"
+const CONNECTION_REFUSED = "ECONNREFUSED"
 
 /** Due timers run before I/O, so a delayed process reads pending answers before it times out. */
-const afterReading = (callback: () => void) => setImmediate(() => setImmediate(callback))
+const afterPendingReads = (callback: () => void) => setImmediate(() => setImmediate(callback))
 
-const isWantedNow = () => Infinity
+const wantedUntilCancelled = () => Infinity
 
 /** Opens a client to an address; it connects on first use. */
 export function connectJson(service: string, address: string): JsonClient {
@@ -126,73 +126,73 @@
 	const isConnected = () =>
 		client.getChannel().getConnectivityState(false) === grpc.connectivityState.READY
 
-	function open(): Exchange {
-		const pending = new Map<number, Pending>()
+	function openExchange(): Exchange {
+		const pending = new Map<number, PendingCall>()
 		const peerClock = createPeerClock()
 		const path = exchangePath(service)
 		const stream = client.makeBidiStreamRequest<Buffer, unknown>(path, encode, decode)
 		let wasConnected = false
 		let isBroken = false
-		let isConfirmDue = false
+		let isConfirmationDue = false
 		let readAt = -Infinity
-		const send = createFrameWriter<CallerFrame>(bytes => {
+		const send = createFrameWriter<ClientFrame>(bytes => {
 			if (!isBroken) stream.write(bytes)
 		})
 		const close = () => stream.cancel()
-		const exchange: Exchange = {begin, cancel, connectAnew, quietMs, close}
+		const exchange: Exchange = {begin, cancel, reconnect, quietMs, close}
 
-		function breakOff(cause: string) {
+		function fail(cause: string) {
 			clearTimeout(timer)
 			isBroken = true
-			const wasRefused = cause.includes(REFUSED)
+			const wasRefused = cause.includes(CONNECTION_REFUSED)
 			if (current === exchange) current = undefined
-			for (const {settle, sentAt, wantedAt} of [...pending.values()])
+			for (const {settle, sentAt, lastConfirmedAt} of [...pending.values()])
 				settle({
 					type: "no answer",
 					cause,
 					wasSent: sentAt !== undefined,
 					wasRefused,
-					lastConfirmedAt: wantedAt,
+					lastConfirmedAt,
 				})
 			pending.clear()
 		}
 
 		/** Fails the pending calls, which were not sent; a connected server may be slow. */
-		function connectAnew() {
+		function reconnect() {
 			if (wasConnected || isConnected()) return
 			failedAttempts++
-			const pauseMs = ESTABLISH_MS * 2 ** (failedAttempts - 1)
-			pauseUntil = systemClock.now() + Math.min(LONGEST_PAUSE_MS, pauseMs)
-			breakOff(NO_CONNECTION.cause)
+			const pauseMs = MIN_CONNECT_TIMEOUT_MS * 2 ** (failedAttempts - 1)
+			pauseUntil = systemClock.now() + Math.min(MAX_CONNECT_PAUSE_MS, pauseMs)
+			fail(NO_CONNECTION.cause)
 			stream.cancel()
 			client.close()
 			client = newClient()
 		}
 
 		/** Returns, on the server's clock, as of when the call is wanted, to be sent now. */
-		function confirmedAtOf(call: Pending): number {
+		function confirm(call: PendingCall): number {
 			const wantedAt = Math.min(systemClock.now(), call.confirmedAt())
-			call.wantedAt = Math.max(call.wantedAt, wantedAt)
-			return roundedDown(peerClock.toPeer(wantedAt))
+			call.lastConfirmedAt = Math.max(call.lastConfirmedAt, wantedAt)
+			return floorToTenth(peerClock.toPeer(wantedAt))
 		}
 
-		function begin(call: Pending) {
+		function begin(call: PendingCall) {
 			pending.set(call.id, call)
 			if (peerClock.isKnown()) sendCall(call)
 		}
 
-		function sendCall(call: Pending) {
+		function sendCall(call: PendingCall) {
 			const {id, method, message} = call
 			call.sentAt = systemClock.now()
-			const madeAt = roundedDown(peerClock.toPeer(call.madeAt))
-			send({id, method, message, madeAt, confirmedAt: confirmedAtOf(call)})
+			const madeAt = floorToTenth(peerClock.toPeer(call.madeAt))
+			send({id, method, message, madeAt, confirmedAt: confirm(call)})
 		}
 
-		function cancel(call: Pending, cause: string) {
+		function cancel(call: PendingCall, cause: string) {
 			if (!pending.delete(call.id)) return
-			const {sentAt, wantedAt} = call
+			const {sentAt, lastConfirmedAt} = call
 			const wasSent = sentAt !== undefined
-			call.settle({type: "no answer", cause, wasSent, wasRefused: false, lastConfirmedAt: wantedAt})
+			call.settle({type: "no answer", cause, wasSent, wasRefused: false, lastConfirmedAt})
 			if (wasSent) send({id: call.id, cancel: true})
 		}
 
@@ -206,58 +206,61 @@
 		/** One frame confirms all calls, since most have the same time. */
 		function sendConfirmation() {
 			if (pending.size === 0 || isBroken) return
-			const times = [...pending.values()].map(call => [call.id, confirmedAtOf(call)] as const)
+			const times = [...pending.values()].map(call => [call.id, confirm(call)] as const)
 			const confirmedAt = Math.max(...times.map(([, at]) => at))
 			send({confirmedAt, older: times.filter(([, at]) => at < confirmedAt)})
 		}
 
-		function takePulse(reading: number) {
+		function handleReading(reading: number) {
 			const isFirst = !peerClock.isKnown()
 			peerClock.observe(reading, systemClock.now())
-			if (isFirst) return begun()
-			if (isConfirmDue) return
-			isConfirmDue = true
+			if (isFirst) return handleConnected()
+			if (isConfirmationDue) return
+			isConfirmationDue = true
 			// After a stall several readings arrive in one turn; one confirmation answers all.
 			setImmediate(() => {
-				isConfirmDue = false
+				isConfirmationDue = false
 				sendConfirmation()
 			})
 		}
 
-		function begun() {
+		function handleConnected() {
 			failedAttempts = 0
 			clearTimeout(timer)
 			for (const call of pending.values()) sendCall(call)
 		}
 
-		function takeAnswer(frame: AnswerFrame) {
+		function handleAnswer(frame: AnswerFrame) {
 			const call = pending.get(frame.id)
 			pending.delete(frame.id)
-			call?.settle(replyOf(frame, call.wantedAt))
+			call?.settle(toReply(frame, call.lastConfirmedAt))
 		}
 
-		function take(frame: ServerFrame) {
-			if ("pulse" in frame) takePulse(frame.pulse)
-			else takeAnswer(frame)
+		function handleFrame(frame: ServerFrame) {
+			if ("pulse" in frame) handleReading(frame.pulse)
+			else handleAnswer(frame)
 		}
 
-		const patienceMs = Math.min(LONGEST_ESTABLISH_MS, ESTABLISH_MS * 2 ** failedAttempts)
-		const timer = setTimeout(connectAnew, patienceMs)
-		client.waitForReady(Date.now() + patienceMs, err => (wasConnected ||= !err))
+		const connectTimeoutMs = Math.min(
+			MAX_CONNECT_TIMEOUT_MS,
+			MIN_CONNECT_TIMEOUT_MS * 2 ** failedAttempts,
+		)
+		const timer = setTimeout(reconnect, connectTimeoutMs)
+		client.waitForReady(Date.now() + connectTimeoutMs, err => (wasConnected ||= !err))
 		stream.on("data", (frames: readonly ServerFrame[]) => {
 			readAt = systemClock.now()
-			frames.forEach(take)
+			frames.forEach(handleFrame)
 		})
-		stream.on("error", (err: grpc.ServiceError) => breakOff(err.details || err.message))
-		stream.on("end", () => breakOff("the stream ended"))
+		stream.on("error", (err: grpc.ServiceError) => fail(err.details || err.message))
+		stream.on("end", () => fail("the stream ended"))
 		return exchange
 	}
 
 	return {
-		call(method, message, timeoutMs, confirmedAt = isWantedNow) {
+		call(method, message, timeoutMs, confirmedAt = wantedUntilCancelled) {
 			if (!current && systemClock.now() < pauseUntil)
 				return {reply: Promise.resolve(NO_CONNECTION), cancel: () => undefined}
-			const exchange = (current ??= open())
+			const exchange = (current ??= openExchange())
 			let giveUp: (cause: string) => void = () => undefined
 			const reply = new Promise<JsonReply>(resolve => {
 				const settle = (answer: JsonReply) => {
@@ -266,10 +269,13 @@
 				}
 				const id = ++serial
 				const madeAt = systemClock.now()
-				const unsent = {sentAt: undefined, wantedAt: -Infinity}
-				const call: Pending = {id, method, message, madeAt, confirmedAt, settle, ...unsent}
+				const unsent = {sentAt: undefined, lastConfirmedAt: -Infinity}
+				const call: PendingCall = {id, method, message, madeAt, confirmedAt, settle, ...unsent}
 				giveUp = cause => exchange.cancel(call, cause)
-				const timer = setTimeout(() => afterReading(() => giveUp("no answer in time")), timeoutMs)
+				const timer = setTimeout(
+					() => afterPendingReads(() => giveUp("no answer in time")),
+					timeoutMs,
+				)
 				exchange.begin(call)
 			})
 			return {reply, cancel: () => giveUp("cancelled")}
@@ -277,10 +283,10 @@
 		quietMs: () => current?.quietMs() ?? 0,
 		noteReachable() {
 			const now = systemClock.now()
-			const wasSilent = now - heardAt >= SILENCE_MS
+			const wasSilent = now - heardAt >= CUT_OFF_MS
 			heardAt = now
 			if (failedAttempts === 0 || !wasSilent) return
-			current?.connectAnew()
+			current?.reconnect()
 			pauseUntil = -Infinity
 		},
 		close() {
@@ -290,14 +296,14 @@
 	}
 }
 
-function replyOf({value, error}: AnswerFrame, wantedAt: number): JsonReply {
+function toReply({value, error}: AnswerFrame, lastConfirmedAt: number): JsonReply {
 	if (error !== undefined)
 		return {
 			type: "no answer",
 			cause: error,
 			wasSent: true,
 			wasRefused: false,
-			lastConfirmedAt: wantedAt,
+			lastConfirmedAt,
 		}
 	return {type: "answer", value}
 }
--- a/packages/wire/src/json-frames.ts
+++ b/packages/wire/src/json-frames.ts
@@ -5,7 +5,7 @@
 
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 /** A quarter of the message limit, since a character may take four bytes. */
-const BATCH_CHARS = MAX_MESSAGE_BYTES / 4
+const MAX_BATCH_CHARS = MAX_MESSAGE_BYTES / 4
 const MIN_RECONNECT_BACKOFF_MS = 50
 const MAX_RECONNECT_BACKOFF_MS = 400
 /** A disconnected peer is detected after this time plus the timeout. */
@@ -60,7 +60,7 @@
 }
 
 /** A frame sent by the client. */
-export type CallerFrame = CallFrame | CancelFrame | ConfirmFrame
+export type ClientFrame = CallFrame | CancelFrame | ConfirmFrame
 
 /** Ends a call; it failed when `error` is present. */
 export interface AnswerFrame {
@@ -70,15 +70,15 @@
 }
 
 /** A reading of the server's monotonic clock, in milliseconds. */
-export interface PulseFrame {
+export interface ClockFrame {
 	readonly pulse: number
 }
 
 /** A frame sent by the server. */
-export type ServerFrame = AnswerFrame | PulseFrame
+export type ServerFrame = AnswerFrame | ClockFrame
 
 /** Rounds down to a tenth of a millisecond, so that a time is never later than the exact one. */
-export const roundedDown = (ms: number) => Math.floor(ms * 10) / 10
+export const floorToTenth = (ms: number) => Math.floor(ms * 10) / 10
 
 /**
  * Sends the frames of one turn of the event loop as one message, or as several if they are long.
@@ -97,7 +97,7 @@
 
 	return (frame: T) => {
 		const text = JSON.stringify(frame)
-		if (size + text.length > BATCH_CHARS) flush()
+		if (size + text.length > MAX_BATCH_CHARS) flush()
 		if (texts.length === 0) setImmediate(flush)
 		texts.push(text)
 		size += text.length
--- a/packages/wire/src/json-server.ts
+++ b/packages/wire/src/json-server.ts
@@ -13,18 +13,18 @@
 	decode,
 	encode,
 	exchangePath,
-	roundedDown,
+	floorToTenth,
 	type AnswerFrame,
-	type CallerFrame,
+	type ClientFrame,
 	type CallFrame,
 	type ConfirmFrame,
 	type ServerFrame,
 } from "./json-frames.js"
 
 /** Interval between clock readings while calls are pending; each costs both sides a message. */
-const PULSE_MS = 100
+const READING_INTERVAL_MS = 100
 /** Two clocks drift apart by at most 2 ms in this interval. */
-const IDLE_PULSE_MS = 2_000
+const IDLE_READING_INTERVAL_MS = 2_000
 
 /**
  * The caller as seen by a handler; times are in milliseconds on the monotonic clock of this
@@ -76,49 +76,52 @@
 type ExchangeStream = grpc.ServerDuplexStream<unknown, Buffer>
 
 /** A pending call. */
-interface Served {
+interface ServedCall {
 	/** Callbacks for when the call is cancelled. */
 	readonly listeners: (() => void)[]
 	confirmedAt: number
 }
 
 function serveExchange(stream: ExchangeStream, handlers: Readonly<Record<string, JsonHandler>>) {
-	const underWay = new Map<number, Served>()
+	const pending = new Map<number, ServedCall>()
 	let isBroken = false
 	let timer: NodeJS.Timeout | undefined
 	const send = createFrameWriter<ServerFrame>(bytes => {
 		if (!isBroken) stream.write(bytes)
 	})
 
-	function sendPulse() {
-		send({pulse: roundedDown(systemClock.now())})
+	function sendReading() {
+		send({pulse: floorToTenth(systemClock.now())})
 	}
 
 	/** Schedules the next reading, sooner while calls are pending. */
-	function schedulePulse() {
+	function scheduleReading() {
 		clearTimeout(timer)
 		if (isBroken) return
-		timer = setTimeout(pulse, underWay.size > 0 ? PULSE_MS : IDLE_PULSE_MS).unref()
+		timer = setTimeout(
+			tick,
+			pending.size > 0 ? READING_INTERVAL_MS : IDLE_READING_INTERVAL_MS,
+		).unref()
 	}
 
-	function pulse() {
-		sendPulse()
-		schedulePulse()
+	function tick() {
+		sendReading()
+		scheduleReading()
 	}
 
 	function cancel(id: number) {
-		const listeners = underWay.get(id)?.listeners
-		underWay.delete(id)
+		const listeners = pending.get(id)?.listeners
+		pending.delete(id)
 		for (const listener of listeners ?? []) listener()
 	}
 
 	function answer(id: number, frame: AnswerFrame) {
-		if (underWay.delete(id)) send(frame)
+		if (pending.delete(id)) send(frame)
 	}
 
 	function confirm({confirmedAt, older}: ConfirmFrame) {
 		const exceptions = new Map(older)
-		for (const [id, served] of underWay)
+		for (const [id, served] of pending)
 			served.confirmedAt = Math.max(served.confirmedAt, exceptions.get(id) ?? confirmedAt)
 	}
 
@@ -128,12 +131,12 @@
 		// Without these times the end of the requested work could not be bounded.
 		if (!Number.isFinite(madeAt) || !Number.isFinite(confirmedAt))
 			return send({id, error: "a call that does not tell its age"})
-		const served: Served = {listeners: [], confirmedAt}
-		underWay.set(id, served)
-		if (underWay.size === 1) schedulePulse()
+		const served: ServedCall = {listeners: [], confirmedAt}
+		pending.set(id, served)
+		if (pending.size === 1) scheduleReading()
 		const onCancel = (listener: () => void) => {
 			// A call may have been cancelled in the same message.
-			if (underWay.has(id)) served.listeners.push(listener)
+			if (pending.has(id)) served.listeners.push(listener)
 			else listener()
 		}
 		handler(message, {onCancel, madeAt, confirmedAt: () => served.confirmedAt}).then(
@@ -142,26 +145,26 @@
 		)
 	}
 
-	function take(frame: CallerFrame) {
+	function handleFrame(frame: ClientFrame) {
 		if ("cancel" in frame) cancel(frame.id)
 		else if ("method" in frame) begin(frame)
 		else confirm(frame)
 	}
 
-	function breakOff() {
+	function handleClose() {
 		if (isBroken) return
 		isBroken = true
 		clearTimeout(timer)
-		for (const id of [...underWay.keys()]) cancel(id)
+		for (const id of [...pending.keys()]) cancel(id)
 	}
 
 	// Clients send nothing before they have a reading of this clock.
-	pulse()
-	stream.on("data", (frames: readonly CallerFrame[]) => frames.forEach(take))
-	stream.on("cancelled", breakOff)
-	stream.on("error", breakOff)
+	tick()
+	stream.on("data", (frames: readonly ClientFrame[]) => frames.forEach(handleFrame))
+	stream.on("cancelled", handleClose)
+	stream.on("error", handleClose)
 	stream.on("end", () => {
-		breakOff()
+		handleClose()
 		stream.end()
 	})
 }
--- a/packages/wire/src/peer-clock.ts
+++ b/packages/wire/src/peer-clock.ts
@@ -6,7 +6,7 @@
  */
 
 /** Relative drift between two monotonic clocks: twice the maximum slew rate. */
-const DRIFT = 0.001
+const MAX_DRIFT = 0.001
 
 export interface PeerClock {
 	/** Adds a reading of the peer's clock that has just arrived, both in milliseconds. */
@@ -20,19 +20,19 @@
 }
 
 export function createPeerClock(): PeerClock {
-	let known: {readonly reading: number; readonly at: number} | undefined
+	let latest: {readonly reading: number; readonly at: number} | undefined
 
 	function toPeer(at: number): number {
-		if (!known) return -Infinity
-		const passed = at - known.at
-		return known.reading + passed - Math.abs(passed) * DRIFT
+		if (!latest) return -Infinity
+		const passed = at - latest.at
+		return latest.reading + passed - Math.abs(passed) * MAX_DRIFT
 	}
 
 	return {
 		observe(reading, now) {
-			if (reading >= toPeer(now)) known = {reading, at: now}
+			if (reading >= toPeer(now)) latest = {reading, at: now}
 		},
-		isKnown: () => known !== undefined,
+		isKnown: () => latest !== undefined,
 		toPeer,
 	}
 }
