--- a/packages/jobs/test/input-watermark.test.ts
+++ b/packages/jobs/test/input-watermark.test.ts
@@ -1,4 +1,4 @@
-/** How old what an instance knows may be, by the turns of its loop. */
+/** The input watermark of a process, by turns of its event loop. */
 import {trackInputWatermark} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {createFakeClock} from "./support/fake-clock.js"
@@ -13,8 +13,8 @@
 	return {clock, news, turn}
 }
 
-describe("news", () => {
-	it("are as old as the last look after which the loop went round three times", async () => {
+describe("input watermark", () => {
+	it("is the last update that was followed by three turns of the event loop", async () => {
 		const {clock, news, turn} = createWorld()
 		const begunAt = clock.now()
 		for (let at = 0; at < 3; at++) turn()
@@ -26,12 +26,12 @@
 		expect(news.readUpTo()).to.equal(begunAt + 50)
 	})
 
-	it("stay as old as they are while the process stands still", async () => {
+	it("does not advance while the process is stalled", async () => {
 		const {clock, news, turn} = createWorld()
 		const begunAt = clock.now()
 		for (let at = 0; at < 3; at++) turn()
 		clock.freeze(3_000)
-		// Timers come first after a standstill; what lay in the connections is read after them.
+		// After a stall timers fire first; connections are read afterwards.
 		await clock.advance(0)
 		expect(news.readUpTo()).to.equal(begunAt)
 		for (let at = 0; at < 3; at++) turn()
@@ -39,14 +39,14 @@
 	})
 })
 
-describe("news of a connection", () => {
-	it("are as old as the last turn before it in which none waited, until it has been looked at", async () => {
+describe("input watermark of a connection", () => {
+	it("is the last turn without waiting connections, until the connection has been read", async () => {
 		const {clock, news, turn} = createWorld()
 		const begunAt = clock.now()
 		for (let at = 0; at < 3; at++) turn()
 		clock.freeze(3_000)
 		await clock.advance(0)
-		// Two connections waited; each turn of the loop accepts one.
+		// Two connections wait; each turn of the event loop accepts one.
 		const first = news.trackConnection()
 		turn()
 		const second = news.trackConnection()
@@ -60,7 +60,7 @@
 		expect(second()).to.equal(begunAt + 3_000)
 	})
 
-	it("of one that was accepted after a look are not those of the look", async () => {
+	it("does not include an update that began before the connection was accepted", async () => {
 		const {clock, news, turn} = createWorld()
 		const begunAt = clock.now()
 		for (let at = 0; at < 3; at++) turn()
--- a/packages/jobs/test/keeper.test.ts
+++ b/packages/jobs/test/keeper.test.ts
@@ -1,6 +1,6 @@
 /**
- * Kept jobs at their placer: accepted once they stand in the store, run to their end, found again by the
- * next placer, and never run twice for a lost answer or a takeover.
+ * Kept jobs at their placer: accepted once their record is in the store, restored by the next
+ * placer, and never run twice after a lost answer or a takeover.
  */
 import {createJobMetrics, silentLog, type Claim} from "@cottonwood/jobs"
 import {
@@ -38,7 +38,7 @@
 	const {fake} = store
 	let session = 0
 
-	/** Begins to place under the next fence; the placer before learns nothing of it by itself. */
+	/** Starts a placer under the next fence; the previous one is not notified. */
 	function beginPlacing(
 		extra: Partial<KeeperDeps> = {},
 		orphansWaitMs = 0,
@@ -95,7 +95,7 @@
 const task = (at: number, id = ID) => `${id}.0.0.${at}`
 
 describe("keeper", () => {
-	it("accepts a job once it stands in the store, and starts nothing of it before", async () => {
+	it("accepts a job once its record is in the store, and starts none of its tasks before", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -109,7 +109,7 @@
 		expect(world.orders.starts).to.have.length(2)
 	})
 
-	it("says that a job's fate is open when the store does not answer, and runs it once it does", async () => {
+	it("answers that the outcome is unknown while the store does not answer, and runs the job once it is written", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -122,7 +122,7 @@
 		expect(world.orders.starts).to.have.length(2)
 	})
 
-	it("refuses a job when the store says that it wrote nothing, and never runs it", async () => {
+	it("refuses a job when the store has certainly not written it, and never runs it", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -136,7 +136,7 @@
 		expect(world.open()).to.equal(undefined)
 	})
 
-	it("takes the same id again as the same job", async () => {
+	it("treats a second submission with the same id as the same job", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -146,7 +146,7 @@
 		expect(world.orders.starts).to.have.length(2)
 	})
 
-	it("shows a job as ended only once the store has its end", async () => {
+	it("reports a job as ended only once its end is in the store", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -165,7 +165,7 @@
 		expect(world.open()).to.equal(undefined)
 	})
 
-	it("lets an executor forget an end only once the store has it", async () => {
+	it("lets an executor forget an end only once it is in the store", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -195,7 +195,7 @@
 		expect(world.end()?.state).to.equal("failed")
 	})
 
-	it("adopts what runs when it takes over, and starts only the rest", async () => {
+	it("adopts running tasks on a takeover, and starts only the others", async () => {
 		const world = createWorld()
 		const first = world.beginPlacing()
 		await world.clock.advance(200)
@@ -214,7 +214,7 @@
 		expect(world.end()?.state).to.equal("completed")
 	})
 
-	it("adopts what executors listed before the store was read", async () => {
+	it("adopts runs that executors listed before the store was read", async () => {
 		const world = createWorld()
 		const first = world.beginPlacing()
 		await world.clock.advance(200)
@@ -231,7 +231,7 @@
 		expect(world.orders.stops).to.eql([])
 	})
 
-	it("does not take in again what ended while the records were being read", async () => {
+	it("does not load a job again that ended while the records were being read", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -242,7 +242,7 @@
 			await world.clock.sleep(400)
 			return listing
 		}
-		// A reading begins every 2.5 s; the job ends while one is on its way.
+		// A listing begins every 2.5 s; the job ends while one is being read.
 		await world.clock.advance(2_300)
 		while (world.fake.lists < 2) await world.clock.advance(20)
 		for (const at of [0, 1]) world.orders.end(task(at), "done")
@@ -252,7 +252,7 @@
 		for (const at of [0, 1]) expect(world.startsOf(task(at))).to.have.length(1)
 	})
 
-	it("learns of ends that the placer before had not noted", async () => {
+	it("learns of ends that the previous placer had not recorded", async () => {
 		const world = createWorld()
 		const first = world.beginPlacing()
 		await world.clock.advance(200)
@@ -280,7 +280,7 @@
 		for (const at of [0, 1]) expect(world.startsOf(task(at))).to.have.length(1)
 	})
 
-	it("starts a restored job's tasks only once what the placer before started has certainly ended", async () => {
+	it("starts a restored job's tasks only once the previous placer's runs have certainly ended", async () => {
 		const world = createWorld()
 		const first = world.beginPlacing()
 		await world.clock.advance(200)
@@ -301,7 +301,7 @@
 		expect(world.clock.now()).to.be.greaterThan(begunAt)
 	})
 
-	it("starts a restored task again only when executors that the list lacks have certainly ended it", async () => {
+	it("starts a restored task again only when executors missing from the list have certainly ended it", async () => {
 		const world = createWorld()
 		const first = world.beginPlacing({}, 0, {listed: ["e1"]})
 		await world.clock.advance(100)
@@ -315,7 +315,7 @@
 		expect(world.startsOf(task(0))).to.have.length(2)
 	})
 
-	it("starts a restored task anew when its executor was replaced while the records were being read", async () => {
+	it("starts a restored task again when its executor was replaced while the records were being read", async () => {
 		const world = createWorld()
 		const first = world.beginPlacing()
 		await world.clock.advance(200)
@@ -345,12 +345,12 @@
 		expect(world.open("00000000000000bb")).to.equal(undefined)
 	})
 
-	it("lets executors forget nothing that it could not note since the claim is another's", async () => {
+	it("lets executors forget no end that it could not record because another placer has the claim", async () => {
 		const world = createWorld()
 		const {keeper, deposed} = world.beginPlacing()
 		await world.clock.advance(200)
 		await accept(world, keeper)
-		// The successor has the claim, and has not reached the executors yet.
+		// The successor has the claim, but has not reached the executors yet.
 		world.fake.write(claimKey("a"), {failureDomain: "a", fence: 2, placer: {session: "other"}})
 		world.orders.end(task(0), "done")
 		await world.clock.advance(800)
@@ -358,7 +358,7 @@
 		expect(world.orders.forgotten).to.equal(0)
 	})
 
-	it("cancels: the end stands in the store, and what runs is stopped", async () => {
+	it("cancels a job by writing its end and stopping its runs", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -371,10 +371,9 @@
 	})
 
 	/*
-	 * Whoever cancelled was told that its fate is open, the end was written later, and the job was said to be running by its home
-	 * for as long as that placed. What settled it: the end that is written counts, however late it is answered.
+	 * Guards against a job that its home reports as running after its cancellation was written late.
 	 */
-	it("no longer has a job whose cancelling was written after the submitter was told that it is open", async () => {
+	it("drops a job whose cancellation was written after the caller was told that its outcome is unknown", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -389,7 +388,7 @@
 		expect(keeper.stateOf(ID)).to.equal(undefined)
 	})
 
-	it("finds a cancelling that was only written into the record", async () => {
+	it("cancels a job that is marked as cancelled only in its record", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -409,7 +408,7 @@
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
 		await accept(world, keeper, job({id: "00000000000000bb", steps: [step({count: 4})]}))
-		// Six places in all, four taken: a gang of three must wait.
+		// Four of six slots are taken, so a gang of three must wait.
 		await accept(world, keeper, job({steps: [step({count: 3, isGang: true})]}))
 		expect(world.startsOf(task(0))).to.have.length(0)
 		for (let at = 0; at < 4; at++) world.orders.end(task(at, "00000000000000bb"), "done")
@@ -426,7 +425,7 @@
 		expect(world.end()?.state).to.equal("completed")
 	})
 
-	it("starts a lasting task again however it ends", async () => {
+	it("starts a lasting task again whenever it ends", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -439,7 +438,7 @@
 		expect(world.end()).to.equal(undefined)
 	})
 
-	it("runs a scheduled job's times when they are due, and never before", async () => {
+	it("runs a scheduled job's occurrences when they are due, and never before", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -460,7 +459,7 @@
 		expect(world.end()?.state).to.equal("completed")
 	})
 
-	it("gives a job that finds no room to a domain that told of some", async () => {
+	it("moves a job that has no room to a domain that reported free capacity", async () => {
 		const world = createWorld()
 		const far = {name: "f", session: "f", failureDomain: "b", address: "f:1", cpuShare: 1}
 		const told: string[] = []
@@ -477,7 +476,7 @@
 		expect(keeper.stateOf(ID)).to.equal(undefined)
 	})
 
-	it("does not take a moved job back from a reading that was made while it moved", async () => {
+	it("does not load a moved job from a listing that was read during the move", async () => {
 		const world = createWorld()
 		const far = {name: "f", session: "f", failureDomain: "b", address: "f:1", cpuShare: 1}
 		const {keeper} = world.beginPlacing({
@@ -485,7 +484,7 @@
 		})
 		await world.clock.advance(200)
 		await accept(world, keeper, job({id: "00000000000000bb", steps: [step({count: 6})]}))
-		// The write of the move takes long; a reading of all records is answered meanwhile, and arrives later.
+		// The move is written slowly; a listing that was read meanwhile arrives later.
 		const {transact, list} = world.store
 		world.store.transact = async transaction => {
 			await world.clock.sleep(4_000)
@@ -498,7 +497,7 @@
 		}
 		const accepted = keeper.accept(job())
 		await world.clock.advance(8_000)
-		// Now there is room here.
+		// Frees capacity in this domain.
 		for (let at = 0; at < 6; at++) world.orders.end(task(at, "00000000000000bb"), "done")
 		await world.clock.advance(7_000)
 		expect((await accepted).type).to.equal("unknown")
@@ -507,7 +506,7 @@
 		expect(keeper.stateOf(ID)).to.equal(undefined)
 	})
 
-	it("never puts filling tasks beside serving ones", async () => {
+	it("never places filling tasks on an executor with serving ones", async () => {
 		const world = createWorld()
 		const {keeper} = world.beginPlacing()
 		await world.clock.advance(200)
@@ -532,7 +531,7 @@
 })
 
 describe("time of day", () => {
-	it("is carried over a jump and back, and follows one that stays", async () => {
+	it("ignores a jump that is reverted, and follows a lasting one", async () => {
 		const clock = createFakeClock()
 		let jump = 0
 		const wall = createWallClock(clock, () => clock.now() + 1_000_000 + jump)
--- a/packages/jobs/test/ledger.test.ts
+++ b/packages/jobs/test/ledger.test.ts
@@ -1,5 +1,6 @@
 /**
- * Writing the records of kept jobs: under the claim, once each, whatever becomes of the answers.
+ * Writing the records of kept jobs: conditional on the claim and exactly once, also when answers
+ * are lost.
  */
 import {createJobMetrics, silentLog} from "@cottonwood/jobs"
 import {
@@ -45,7 +46,7 @@
 		expect(fake.transactions).to.have.length(1)
 	})
 
-	it("tells a job that stands in the store already, open or ended, from a new one", async () => {
+	it("detects a job that is already in the store, open or ended", async () => {
 		const {clock, fake, ledger, stored} = createWorld()
 		fake.write(openJobKey("a"), {...jobRecord("a"), writer: "other:1/1", spec: "first"})
 		fake.write(endedJobKey("b"), {state: "completed", endedAtMs: 0})
@@ -56,7 +57,7 @@
 		expect(stored("b")).to.equal(undefined)
 	})
 
-	it("sends a write without an answer again, and knows its own when it was done", async () => {
+	it("retries a write without an answer, and recognizes its own earlier write", async () => {
 		const {clock, fake, ledger} = createWorld()
 		fake.faults = ["done but not answered", "lost", "refused"]
 		const write = ledger.create(jobRecord("a"))
@@ -64,7 +65,7 @@
 		expect(await write).to.equal("written")
 	})
 
-	it("is not undone by a write that is carried out late", async () => {
+	it("ignores a delayed write after its retry succeeded", async () => {
 		const {clock, fake, ledger, stored} = createWorld()
 		await Promise.all([ledger.create(jobRecord("a")), clock.advance(50)])
 		fake.faults = ["lost"]
@@ -77,7 +78,7 @@
 		expect(stored("a")?.done).to.eql(["0.0.0", "0.0.1"])
 	})
 
-	it("replaces a record by its end in one step", async () => {
+	it("replaces a record by its end in one transaction", async () => {
 		const {clock, fake, ledger, stored} = createWorld()
 		await Promise.all([ledger.create(jobRecord("a")), clock.advance(50)])
 		fake.faults = ["done but not answered"]
@@ -88,7 +89,7 @@
 		expect(fake.items.get(endedJobKey("a"))?.value).to.eql({state: "completed", endedAtMs: 7})
 	})
 
-	it("writes an end that is wanted before the record stands in the store", async () => {
+	it("writes an end that is requested before the record is in the store", async () => {
 		const {clock, fake, ledger} = createWorld()
 		fake.faults = ["lost"]
 		const write = ledger.create(jobRecord("a"))
@@ -99,7 +100,7 @@
 		expect(fake.items.has(endedJobKey("a"))).to.equal(true)
 	})
 
-	it("writes nothing more once the claim is another's", async () => {
+	it("writes nothing more once another placer has the claim", async () => {
 		const {clock, fake, ledger, seen, stored} = createWorld()
 		await Promise.all([ledger.create(jobRecord("a")), clock.advance(50)])
 		fake.write("claim", "theirs")
@@ -113,7 +114,7 @@
 		expect(seen.deposed).to.equal(1)
 	})
 
-	it("hears that somebody else asked for a job's end", async () => {
+	it("reports that another writer marked a job as cancelled", async () => {
 		const {clock, fake, ledger, seen} = createWorld()
 		await Promise.all([ledger.create(jobRecord("a")), clock.advance(50)])
 		fake.write(openJobKey("a"), {...jobRecord("a"), isCancelled: true})
@@ -123,7 +124,7 @@
 		expect(seen.cancelAsked).to.eql(["a"])
 	})
 
-	it("gives a job to another home and forgets it", async () => {
+	it("moves a job to another home and drops it", async () => {
 		const {clock, ledger, stored} = createWorld()
 		await Promise.all([ledger.create(jobRecord("a")), clock.advance(50)])
 		const released = ledger.release(jobRecord("a", {home: "b"}))
@@ -133,7 +134,7 @@
 		expect(await ledger.update(jobRecord("a"))).to.equal("ended elsewhere")
 	})
 
-	it("does not take a record that it gave away for a creation of its own", async () => {
+	it("does not mistake a record that it moved away for its own creation", async () => {
 		const {clock, ledger, stored} = createWorld()
 		await Promise.all([ledger.create(jobRecord("a")), clock.advance(50)])
 		await Promise.all([ledger.release(jobRecord("a", {home: "b"})), clock.advance(50)])
@@ -143,7 +144,7 @@
 		expect(stored("a")?.home).to.equal("b")
 	})
 
-	it("keeps within its share of the store's rate while writes fail", async () => {
+	it("stays within its share of the store's rate while writes fail", async () => {
 		const {clock, fake, ledger} = createWorld()
 		fake.isAway = true
 		void ledger.create(jobRecord("a"))
--- a/packages/jobs/test/log-lines.test.ts
+++ b/packages/jobs/test/log-lines.test.ts
@@ -1,7 +1,6 @@
 /**
- * What the lines tell of a task that may have run twice: who asked for each run, under which fence, and what proved its
- * end. A placer's word about an end without its proof, and lines that two lives of one instance share, could tell no two
- * explanations of such a report apart.
+ * Log lines about runs: who submitted each run, under which fence, and what proved its end. They
+ * must explain a report that a task ran twice.
  */
 import {
 	createJobMetrics,
@@ -48,7 +47,7 @@
 	return {lines, log, lineOf}
 }
 
-describe("lines of a run", () => {
+describe("log lines of a run", () => {
 	function createWorld(extra: Partial<PlacerDeps> = {}) {
 		const clock = createFakeClock()
 		const executor = new LeasedExecutor(clock)
@@ -65,13 +64,13 @@
 		return {clock, executor, placer, lines, lineOf, log, run}
 	}
 
-	it("tell who asked for it and under which fence", async () => {
+	it("name the submitting instance and the fence", async () => {
 		const {lineOf, run} = createWorld()
 		await run()
 		expect(lineOf("task_started")).to.include({task: TASK, run: 1, fence: 7, askedBy: CALLER_SHORT})
 	})
 
-	it("tell an end that its executor listed", async () => {
+	it("report an end that the executor listed", async () => {
 		const {clock, executor, lineOf, run} = createWorld()
 		await run()
 		executor.end(TASK, "done")
@@ -80,7 +79,7 @@
 		expect(lineOf("run_ended")).to.include({...expected, isSampled: true})
 	})
 
-	it("tell an end that a list without it proved", async () => {
+	it("report an end proved by a list without the run", async () => {
 		const {clock, executor, lineOf, run} = createWorld()
 		await run()
 		executor.running.clear()
@@ -89,7 +88,7 @@
 		expect(lineOf("run_ended")).to.include({...expected, isSampled: false})
 	})
 
-	it("tell an end by a lease that is over", async () => {
+	it("report an end proved by an expired lease", async () => {
 		const {clock, executor, lineOf, run} = createWorld()
 		await run()
 		executor.isLost = () => true
@@ -97,7 +96,7 @@
 		expect(lineOf("run_ended")).to.include({outcome: "lost", proof: "lease over"})
 	})
 
-	it("tell an end by another life of the executor", async () => {
+	it("report an end proved by a restarted executor", async () => {
 		const clock = createFakeClock()
 		let isReplaced = false
 		const executor = new LeasedExecutor(clock)
@@ -120,7 +119,7 @@
 		expect(lineOf("run_ended")).to.include({outcome: "lost", proof: "replaced"})
 	})
 
-	it("tell when it was ordered to stop, and that is never sampled away", async () => {
+	it("report the stop order, without sampling", async () => {
 		const {clock, lineOf, run} = createWorld()
 		const handle = await run()
 		handle.cancel()
@@ -132,7 +131,7 @@
 		expect(lineOf("run_ended")).to.include(ended)
 	})
 
-	it("are never sampled away from its second run on", async () => {
+	it("are not sampled from the second run on", async () => {
 		const {clock, placer, lineOf} = createWorld()
 		await clock.advance(10)
 		placer.submit(taskRequest(TASK, {run: 2}), ignore, ignore)
@@ -140,7 +139,7 @@
 		expect(lineOf("task_started")).to.include({run: 2, isSampled: false})
 	})
 
-	it("tell how a run ended that the placer before had left and nobody wants", async () => {
+	it("report how an unwanted run of the previous placer ended", async () => {
 		const {clock, executor, placer, run, log, lines, lineOf} = createWorld()
 		await run()
 		placer.close()
@@ -152,7 +151,7 @@
 		expect(lineOf("orphan_ended")).to.include({...orphan, outcome: "stopped", isSampled: false})
 	})
 
-	it("tell from whom a successor has it", async () => {
+	it("name the submitting instance of an adopted run", async () => {
 		const {clock, lineOf, placer} = createWorld()
 		await clock.advance(10)
 		const from = {executor: "e1", isStarted: true}
@@ -173,7 +172,7 @@
 const OWN = memberOf("a-1", "a", "11111111-own")
 const OTHER = memberOf("b-1", "b", "22222222-other")
 
-describe("lines of who was asked", () => {
+describe("log lines of requests to placers", () => {
 	const beatOf = (from: Member) => ({
 		from,
 		claims: [],
@@ -220,11 +219,11 @@
 		return {clock, view, dispatcher, job, asked, lineOf}
 	}
 
-	it("tell an instance that asked itself from a placer that has been silent", async () => {
+	it("distinguish a request to the instance itself from one to a silent placer", async () => {
 		const clock = createFakeClock()
 		const claim = {failureDomain: "a", fence: 5, placer: OWN}
 		const {view, dispatcher, job, lineOf} = createWorld(clock, claim, {type: "completed"})
-		// A beat to its earlier life's address has come back to it.
+		// A heartbeat sent to the address of its previous process returns to the instance.
 		view.applyHeartbeat(beatOf(OWN))
 		await clock.advance(17_000)
 		await dispatcher.dispatch(job, QUEUE, STAYING)
@@ -233,7 +232,7 @@
 		expect(line?.inputAgeMs).to.equal(undefined)
 	})
 
-	it("tell the life that was asked, and how long it had been silent", async () => {
+	it("name the session that was asked, and how long it had been silent", async () => {
 		const clock = createFakeClock()
 		const claim = {failureDomain: "b", fence: 5, placer: OTHER}
 		const end = {type: "given up", kind: "placer_lost", cause: "b-1 is silent"}
@@ -245,7 +244,7 @@
 		expect(lineOf("placer_asked")).to.include({...asked, isSampled: false})
 	})
 
-	it("name the instance that handed the job in at its placer", async () => {
+	it("name the instance that sent the job to the placer", async () => {
 		const clock = createFakeClock()
 		const claim = {failureDomain: "a", fence: 5, placer: OWN}
 		const {dispatcher, job, asked} = createWorld(clock, claim, {type: "completed"})
@@ -262,7 +261,7 @@
 		expect(asked[0]?.askedBy).to.equal(CALLER)
 	})
 
-	it("tell under which fence another placer had a task, and whether it told the end", async () => {
+	it("name the fence of another placer, and whether it reported the end", async () => {
 		const replies: (TaskReply | undefined)[] = [
 			{type: "done", executor: "e1"},
 			{type: "lost", executor: "e1", cause: "replaced"},
--- a/packages/jobs/test/log.test.ts
+++ b/packages/jobs/test/log.test.ts
@@ -1,5 +1,5 @@
 /**
- * Structured lines: bounded, sampled, and never in the way.
+ * The event log: bounded, sampled and non-blocking.
  */
 import {createEventLog, createJobMetrics} from "@cottonwood/jobs"
 import {BoundedOutput} from "@cottonwood/jobs/internals"
@@ -16,7 +16,7 @@
 }
 
 describe("event log", () => {
-	it("keeps lines of one kind up to its rate, then a sample that says what was left out", () => {
+	it("writes lines of one kind up to its rate, then a sample with the number of skipped lines", () => {
 		const output = new Collector()
 		const log = createEventLog({instance: "a-1", linesPerKindPerSecond: 50}, output)
 		for (let at = 0; at < 1_000; at++) log.event("job", "busy", "job: busy.", {count: at})
@@ -25,7 +25,7 @@
 		expect(sampledOut + output.lines.length).to.be.within(980, 1_000)
 	})
 
-	it("samples no alarms, and other kinds go on", () => {
+	it("does not sample alarms or affect other kinds", () => {
 		const output = new Collector()
 		const log = createEventLog({instance: "a-1", linesPerKindPerSecond: 10}, output)
 		for (let at = 0; at < 200; at++) log.alarm("job", "lost", "job: lost.", {job: String(at)})
@@ -35,7 +35,7 @@
 		expect(output.lines.at(-1)?.["kind"]).to.equal("rare")
 	})
 
-	it("drops and counts what a stopped reader does not take, without waiting for it", async () => {
+	it("drops and counts lines that a stalled reader does not take, without blocking", async () => {
 		const written: string[] = []
 		let finish: (() => void) | undefined
 		const output = new BoundedOutput((bytes, done) => {
@@ -49,7 +49,7 @@
 		const tookMs = performance.now() - before
 		console.log(`        ${((tookMs / 20_000) * 1_000).toFixed(1)} us a line`)
 		expect(tookMs).to.be.lessThan(4_000)
-		// The reader takes nothing: one write is under way and no second one begins.
+		// The reader takes nothing: one write is in flight and no second one begins.
 		await new Promise(resolve => setTimeout(resolve, 300))
 		expect(written).to.have.length(1)
 		log.event("placer", "task_started", "placer: starts a task.")
@@ -62,7 +62,7 @@
 })
 
 describe("metrics", () => {
-	it("are text that counts by reason and reads gauges when asked", async () => {
+	it("count by reason and read gauges on request", async () => {
 		const metrics = createJobMetrics()
 		metrics.count("jobs_refused", "overloaded")
 		metrics.count("jobs_refused", "overloaded")
--- a/packages/wire/test/confirmation.test.ts
+++ b/packages/wire/test/confirmation.test.ts
@@ -1,5 +1,5 @@
 /**
- * As of when a call is known to be wanted, on the clock of the side that is called.
+ * The time as of which a call is known to be wanted, on the server's clock.
  */
 import {connectJson, listenJson, type JsonCaller} from "@cottonwood/wire/json"
 import * as grpc from "@grpc/grpc-js"
@@ -9,9 +9,9 @@
 import {createServer, type AddressInfo} from "node:net"
 
 const sleep = (ms: number) => new Promise<void>(resolve => setTimeout(resolve, ms))
-/** A few readings of the clock come and go in this time. */
+/** Long enough for a few clock readings. */
 const READINGS_MS = 350
-/** Rounding, and what a loop with other tests in it takes. */
+/** Allows for rounding and for other tests in the same event loop. */
 const NOISE_MS = 60
 
 async function freeAddress(): Promise<string> {
@@ -49,7 +49,7 @@
 }
 
 describe("a call's confirmation", () => {
-	it("goes on while its caller wants it, and is never ahead of that", async () => {
+	it("advances while the caller wants the call, and is never too late", async () => {
 		const {client, callerOf, close} = await createWorld()
 		const madeAt = performance.now()
 		client.call("wait", "a", 2_000)
@@ -61,7 +61,7 @@
 		close()
 	})
 
-	it("says of each call what its caller knows of it", async () => {
+	it("is kept for each call", async () => {
 		const {client, callerOf, close} = await createWorld()
 		const unheardSince = performance.now()
 		client.call("wait", "heard", 2_000)
@@ -72,7 +72,7 @@
 		close()
 	})
 
-	it("stays where it was once the call is cancelled", async () => {
+	it("does not advance after the call is cancelled", async () => {
 		const {client, callerOf, close} = await createWorld()
 		client.call("wait", "other", 2_000)
 		const call = client.call("wait", "a", 2_000)
@@ -85,7 +85,7 @@
 		close()
 	})
 
-	it("is what the caller knew when the call was made, until more is heard", async () => {
+	it("starts at the time that the caller knew when it made the call", async () => {
 		const {client, callerOf, close} = await createWorld()
 		const knownAt = performance.now() - 5_000
 		client.call("wait", "a", 2_000, () => knownAt)
@@ -96,7 +96,7 @@
 })
 
 describe("a peer's clock", () => {
-	it("is never told a later time than was meant, whatever readings lay on the way", () => {
+	it("is never overestimated, however long readings were delayed", () => {
 		const reading = fc.record({
 			sentAt: fc.integer({min: 0, max: 60_000}),
 			onTheWayMs: fc.integer({min: 0, max: 5_000}),
@@ -117,8 +117,8 @@
 	})
 })
 
-describe("a call that does not tell its age", () => {
-	it("is not begun: nobody could tell when what it asks for has certainly ended", async () => {
+describe("a call without times", () => {
+	it("is refused, since the end of its work could not be bounded", async () => {
 		const address = await freeAddress()
 		let begun = 0
 		const count = () => {
--- a/packages/wire/test/json-service.test.ts
+++ b/packages/wire/test/json-service.test.ts
@@ -1,5 +1,6 @@
 /**
- * Calls between two instances on one stream: answers that cross, cancelling, and what a broken stream proves.
+ * Calls between two instances on one stream: concurrent answers, cancellation, and what a broken
+ * stream says about its calls.
  */
 import {systemClock} from "@cottonwood/core/clock"
 import {connectJson, listenJson, type JsonHandler} from "@cottonwood/wire/json"
@@ -28,7 +29,7 @@
 }
 
 describe("calls between instances", () => {
-	it("gives each call its own answer, also when answers cross", async () => {
+	it("matches answers to calls, also when they arrive out of order", async () => {
 		const {client, close} = await createWorld({
 			async echo(message) {
 				const {text, waitMs} = message as {text: string; waitMs: number}
@@ -48,7 +49,7 @@
 		close()
 	})
 
-	it("tells the handler when its caller cancels, and the other calls go on", async () => {
+	it("notifies the handler when its caller cancels, without affecting other calls", async () => {
 		const cancelled: unknown[] = []
 		const {client, close} = await createWorld({
 			wait(message, {onCancel}) {
@@ -66,12 +67,12 @@
 		close()
 	})
 
-	it("is heard while calls are under way, and quiet once the other side says nothing", async () => {
+	it("counts as quiet only while sent calls get no readings", async () => {
 		const {client, close} = await createWorld({wait: () => sleep(400)})
 		expect(client.quietMs()).to.equal(0)
 		const call = client.call("wait", "", 2_000)
 		await sleep(350)
-		// Readings come each 100 ms; this machine may be late.
+		// Readings arrive every 100 ms; the machine may be late.
 		expect(client.quietMs()).to.be.lessThan(200)
 		await call.reply
 		expect(client.quietMs()).to.equal(0)
@@ -82,13 +83,13 @@
 		const unanswered = connectJson("test.Service", `127.0.0.1:${port}`)
 		unanswered.call("wait", "", 250)
 		await sleep(150)
-		// What was never sent cannot have been passed over.
+		// A call that was not sent does not count as ignored.
 		expect(unanswered.quietMs()).to.equal(0)
 		unanswered.close()
 		silent.close()
 	})
 
-	it("gives up after a call's time-out and tells the handler", async () => {
+	it("times out a call and notifies the handler", async () => {
 		let isCancelled = false
 		const {client, close} = await createWorld({
 			wait(_message, {onCancel}) {
@@ -104,10 +105,10 @@
 	})
 
 	/*
-	 * What the other side was told last is all that it can go by, so a lost call's work is over by that and not by when the loss
-	 * was noticed. A caller that was heard long ago is told so.
+	 * Work of a lost call ends by the last confirmation that the server received, so the client must
+	 * report that time and not the time of the loss.
 	 */
-	it("says of a lost call as of when the other side was last told that it is wanted", async () => {
+	it("reports the last confirmation that the server received of a lost call", async () => {
 		let toldAt = -Infinity
 		const {server, client} = await createWorld({
 			wait(_message, {confirmedAt}) {
@@ -126,12 +127,12 @@
 		expect(last)
 			.to.have.property("lastConfirmedAt")
 			.that.is.within(lostAt - 250, lostAt + 20)
-		// Both are processes of one clock here.
+		// Client and server share one clock here.
 		expect(toldAt).to.be.at.most((last as {lastConfirmedAt: number}).lastConfirmedAt)
 		client.close()
 	})
 
-	it("ends all calls on a broken stream for both sides, and the next call opens another", async () => {
+	it("ends all calls of a broken stream on both sides, and opens another for the next call", async () => {
 		let cancelled = 0
 		const handlers: Record<string, JsonHandler> = {
 			wait(_message, {onCancel}) {
@@ -145,7 +146,7 @@
 		await sleep(100)
 		server.close()
 		const replies = await Promise.all(calls.map(({reply}) => reply))
-		// The peer may have seen them: what they asked for may have been done.
+		// The server may have seen the calls, and may have acted on them.
 		for (const reply of replies) expect(reply).to.include({type: "no answer", wasSent: true})
 		expect(cancelled).to.equal(2)
 		const again = await listenJson("test.Service", address, handlers)
@@ -159,18 +160,18 @@
 		again.close()
 	})
 
-	it("knows that a peer to which there never was a connection has not seen a call", async () => {
+	it("reports a call as not sent when there never was a connection", async () => {
 		const client = connectJson("test.Service", await freeAddress())
 		const reply = await client.call("now", {}, 1_000).reply
 		expect(reply).to.include({type: "no answer", wasSent: false, wasRefused: true})
 		client.close()
 	})
 
-	it("sends any number of long messages at once", async () => {
+	it("sends many long messages at once", async () => {
 		const {client, close} = await createWorld({
 			length: message => Promise.resolve((message as {text: string}).text.length),
 		})
-		// Six megabytes in one turn of the loop; a message holds four.
+		// Six megabytes in one turn of the event loop; a message holds four.
 		const text = "é".repeat(200_000)
 		const calls = Array.from({length: 30}, () => client.call("length", {text}, 5_000))
 		const replies = await Promise.all(calls.map(({reply}) => reply))
@@ -179,12 +180,10 @@
 	})
 
 	/*
-	 * Symptom: up to 2.6 s after a cut had healed tasks handed to the domain were lost, 26 in 3 s, with room there. Sequence:
-	 * a connection is begun while the link is cut; its first packet is lost and sent again after seconds; beats are heard
-	 * at once, calls wait for the connection and count as seen by the peer. Cause: no time-out of the attempt itself.
-	 * Settled by `task_handed_over` lines, `silent` after 1.9 to 2.6 s.
+	 * Guards against calls that wait for seconds on a connection attempt whose first packet was
+	 * lost, and then count as possibly seen by the peer.
 	 */
-	it("gives up an attempt to connect that gets nowhere, says that nothing was sent, and begins another", async () => {
+	it("replaces a stuck attempt to connect, and reports its calls as not sent", async () => {
 		const address = await freeAddress()
 		const sockets: Socket[] = []
 		const mute = createServer(socket => sockets.push(socket))
@@ -193,13 +192,13 @@
 		const client = connectJson("test.Service", address)
 		const begunAt = performance.now()
 		const reply = await client.call("now", {}, 5_000).reply
-		// The machine is there and busy, or cut off: nothing says that the process is gone.
+		// An unanswered attempt does not show that the process is gone.
 		expect(reply).to.include({type: "no answer", wasSent: false, wasRefused: false})
 		expect(performance.now() - begunAt).to.be.within(250, 600)
 		for (const socket of sockets) socket.destroy()
 		await new Promise(resolve => mute.close(resolve))
 		const server = await listenJson("test.Service", address, {now: () => Promise.resolve("now")})
-		// Attempts in vain leave sockets behind, so the next one waits a little, or for news of the peer.
+		// After failed attempts the next one is delayed, unless the peer is heard.
 		expect(await client.call("now", {}, 1_000).reply).to.include({wasSent: false})
 		client.noteReachable()
 		expect(await client.call("now", {}, 1_000).reply).to.eql({type: "answer", value: "now"})
@@ -207,7 +206,7 @@
 		server.close()
 	})
 
-	it("answers a method that nobody handles, or whose handler throws, with a failure of that call alone", async () => {
+	it("fails only the call whose method is unknown or whose handler throws", async () => {
 		const {client, close} = await createWorld({
 			fail: () => Promise.reject(new Error("broken")),
 			now: () => Promise.resolve("now"),
