--- a/packages/jobs/src/instance-metrics.ts
+++ b/packages/jobs/src/instance-metrics.ts
@@ -16,7 +16,7 @@
 	metrics: JobMetrics,
 	hosts: HostedPlacers,
 	store: Store,
-	news: InputWatermark,
+	watermark: InputWatermark,
 	config: Configuration,
 ) {
 	metrics.gauge("tasks_waiting", () => hosts.counts().waiting)
@@ -26,7 +26,7 @@
 	metrics.gauge("kept_jobs", () => hosts.counts().kept)
 	metrics.gauge("config_version", () => config.current()?.version ?? 0)
 	metrics.gauge("config_heard_ms", () => Math.round(config.heardMs()))
-	metrics.gauge("news_age_ms", () => Math.round(clock.now() - news.readUpTo()))
+	metrics.gauge("news_age_ms", () => Math.round(clock.now() - watermark.readUpTo()))
 	metrics.gauge("store_silent_ms", () => store.silentMs())
 	measureTimerLateness(clock, metrics)
 }
--- a/packages/jobs/src/instance.ts
+++ b/packages/jobs/src/instance.ts
@@ -156,7 +156,7 @@
 		leaseRule,
 		stopGraceMs: settings.stopGraceMs,
 		handOver: item => overflow.handOver(item),
-		onRoomChange: () => beats.noteRoomChange(),
+		onRoomChange: () => heartbeats.noteRoomChange(),
 		createKeeper: (claim, onDeposed) => keptJobs.createKeeper(claim, onDeposed),
 		executorsOf: slicing.executorsOf,
 		slices: slicing,
@@ -192,7 +192,7 @@
 
 	const executors = watchExecutors(clock, deps, hosts, ownClaims, config.current)
 
-	const beatNews = createHeartbeatHandler({
+	const heartbeatHandler = createHeartbeatHandler({
 		...common,
 		hosts,
 		strain,
@@ -201,14 +201,14 @@
 		isLeaving: () => isLeaving,
 	})
 
-	const fleetFollower = watchFleet(clock, deps, view, () => {
+	const fleetWatch = watchFleet(clock, deps, view, () => {
 		isListed = true
 		claims?.checkNow()
 	})
 	const server = await listenPeers(self.address, {
 		beat(beat) {
-			beatNews.take(beat)
-			return beatNews.own()
+			heartbeatHandler.take(beat)
+			return heartbeatHandler.own()
 		},
 		runJob: (message, caller) => dispatcher.runJob(message, caller),
 		runTask: (message, caller) => dispatcher.runTask(message, caller),
@@ -217,16 +217,16 @@
 	})
 	const datagrams = await openDatagrams(
 		self.address,
-		message => beats.receive(message as FleetDatagram),
+		message => heartbeats.receive(message as FleetDatagram),
 		error => logDatagramError(deps, error),
 	)
-	const beats = createHeartbeats({
+	const heartbeats = createHeartbeats({
 		...common,
 		send: datagrams.send,
-		ownHeartbeat: beatNews.own,
+		ownHeartbeat: heartbeatHandler.own,
 		rooms: hosts.rooms,
-		onHeartbeat: beatNews.take,
-		onRoomNews: beatNews.takeRoom,
+		onHeartbeat: heartbeatHandler.take,
+		onRoomNews: heartbeatHandler.takeRoom,
 		needsOthers: () => evacuations.isUnderWay(self.failureDomain) || isHomeQuiet(),
 		linkMbps: settings.linkMbps,
 	})
@@ -252,7 +252,7 @@
 		failureDomains: () =>
 			settings.failureDomains.flatMap(name => sliceNames(name, view.sliceCount(name))),
 		isLeaving: () => isLeaving,
-		ping: beats.ping,
+		ping: heartbeats.ping,
 		ownLateMs: strain.lateMs,
 		...createReachabilityProbe({...deps, clock, latestExecutors: executors.latest}),
 	})
@@ -282,10 +282,10 @@
 				handover,
 				slicing,
 				keptJobs,
-				beats,
+				heartbeats,
 				config,
 			]
-			const serving = [fleetFollower, executors, hosts, datagrams, server, peers]
+			const serving = [fleetWatch, executors, hosts, datagrams, server, peers]
 			for (const part of [...deciding, ...serving]) part.close()
 		},
 	}
--- a/packages/jobs/src/keep/kept-job-service.ts
+++ b/packages/jobs/src/keep/kept-job-service.ts
@@ -52,8 +52,8 @@
 	function roomOf(domain: string): Room | undefined {
 		const own = hosts.of(domain)
 		if (own) return own.placer.room()
-		const told = view.roomOf(domain)
-		return told && clock.now() - told.at < MAX_REPORT_AGE_MS ? told.room : undefined
+		const report = view.roomOf(domain)
+		return report && clock.now() - report.at < MAX_REPORT_AGE_MS ? report.room : undefined
 	}
 
 	function domainWithRoom(own: string, cpu: number): Claim | undefined {
@@ -73,13 +73,13 @@
 	async function notifyPlacer({failureDomain, placer}: Claim, id: string) {
 		const message = {type: "fetch", id, failureDomain} as const
 		const reply = hosts.of(failureDomain)
-			? await front.answer(message)
+			? await router.answer(message)
 			: await peers.kept(placer.address, message, NOTIFY_TIMEOUT_MS).reply
 		const fields = {job: id, peer: placer.name, failureDomain, outcome: reply?.type ?? "silent"}
 		log.event("job", "home_told", "job: notified its new home.", fields)
 	}
 
-	const front = createKeptJobRouter({
+	const router = createKeptJobRouter({
 		...deps,
 		keeperOf: domain => hosts.of(domain)?.keeper,
 		roomOf,
@@ -92,7 +92,7 @@
 		isOnDuty: () => hosts.of([...deps.failureDomains].sort()[0] as string) !== undefined,
 	})
 	return {
-		router: front,
+		router,
 		createKeeper: (claim, onDeposed) =>
 			createKeeper({
 				...deps,
--- a/packages/jobs/src/keep/ledger.ts
+++ b/packages/jobs/src/keep/ledger.ts
@@ -81,7 +81,7 @@
 interface Entry {
 	readonly id: string
 	/** Identifies this entry in written records; a job that returns gets another. */
-	readonly tag: string
+	readonly writerId: string
 	record: JobRecord
 	end: EndRecord | undefined
 	isReleased: boolean
@@ -100,7 +100,7 @@
 
 /** Creates the ledger of one placer. */
 export function createLedger(deps: LedgerDeps): Ledger {
-	const {clock, store, log, metrics, claimRevision: guard} = deps
+	const {clock, store, log, metrics, claimRevision} = deps
 	const entries = new Map<string, Entry>()
 	let serial = 0
 	let inFlight = 0
@@ -112,7 +112,7 @@
 	function addEntry(record: JobRecord, revision: number): Entry {
 		const entry: Entry = {
 			id: record.id,
-			tag: `${deps.writer}#${++serial}`,
+			writerId: `${deps.writer}#${++serial}`,
 			record,
 			end: undefined,
 			isReleased: false,
@@ -199,7 +199,7 @@
 
 	function handleConflict(batch: readonly Entry[], current: readonly StoreItem[]) {
 		const byKey = new Map(current.map(item => [item.key, item]))
-		if (byKey.get(guard.key)?.revision !== guard.revision) return depose()
+		if (byKey.get(claimRevision.key)?.revision !== claimRevision.revision) return depose()
 		for (const entry of batch) {
 			const open = byKey.get(openJobKey(entry.id))
 			if (open?.revision === entry.revision) continue
@@ -213,7 +213,7 @@
 	function handleOtherRevision(entry: Entry, open: StoreItem) {
 		const stored = open.value as JobRecord
 		const [writer, version] = stored.writer.split("/")
-		if (writer === entry.tag) {
+		if (writer === entry.writerId) {
 			entry.revision = open.revision
 			entry.writtenVersion = Math.max(entry.writtenVersion, Number(version))
 			return resolveWaiters(entry, entry.writtenVersion, "written")
@@ -287,11 +287,8 @@
 	return revision === 0 && end ? version - 1 : version
 }
 
-function buildTransaction(
-	batch: readonly Entry[],
-	{claimRevision: guard}: LedgerDeps,
-): Transaction {
-	const expect = [{key: guard.key, revision: guard.revision}]
+function buildTransaction(batch: readonly Entry[], {claimRevision}: LedgerDeps): Transaction {
+	const expect = [{key: claimRevision.key, revision: claimRevision.revision}]
 	const puts: {key: string; value: unknown}[] = []
 	const removes: string[] = []
 	for (const entry of batch) {
@@ -302,7 +299,7 @@
 			puts.push({key: endedJobKey(id), value: end})
 			removes.push(openJobKey(id))
 		} else {
-			const value = {...record, writer: `${entry.tag}/${sentVersion(entry)}`}
+			const value = {...record, writer: `${entry.writerId}/${sentVersion(entry)}`}
 			puts.push({key: openJobKey(id), value})
 		}
 	}
--- a/packages/jobs/test/keeper.test.ts
+++ b/packages/jobs/test/keeper.test.ts
@@ -462,17 +462,17 @@
 	it("moves a job that has no room to a domain that reported free capacity", async () => {
 		const world = createWorld()
 		const far = {name: "f", session: "f", failureDomain: "b", address: "f:1", cpuShare: 1}
-		const told: string[] = []
+		const notified: string[] = []
 		const {keeper} = world.beginPlacing({
 			domainWithRoom: () => ({failureDomain: "b", fence: 9, placer: far}),
-			notifyHome: (claim, id) => void told.push(`${claim.failureDomain} ${id}`),
+			notifyHome: (claim, id) => void notified.push(`${claim.failureDomain} ${id}`),
 		})
 		await world.clock.advance(200)
 		await accept(world, keeper, job({id: "00000000000000bb", steps: [step({count: 6})]}))
 		await accept(world, keeper)
 		await world.clock.advance(2_000)
 		expect(world.open()).to.deep.include({home: "b", homeFence: 9})
-		expect(told).to.eql([`b ${ID}`])
+		expect(notified).to.eql([`b ${ID}`])
 		expect(keeper.stateOf(ID)).to.equal(undefined)
 	})
 
--- a/packages/jobs/test/ledger.test.ts
+++ b/packages/jobs/test/ledger.test.ts
@@ -18,7 +18,7 @@
 function createWorld(extra: Partial<LedgerDeps> = {}) {
 	const clock = createFakeClock()
 	const {fake, store} = createFakeStore()
-	const guard = {key: "claim", revision: fake.write("claim", "ours").revision}
+	const claimRevision = {key: "claim", revision: fake.write("claim", "ours").revision}
 	const seen = {deposed: 0, cancelAsked: [] as string[], gone: [] as string[]}
 	const ledger = createLedger({
 		clock,
@@ -26,7 +26,7 @@
 		log: silentLog,
 		metrics: createJobMetrics(),
 		writer: "me:1",
-		claimRevision: guard,
+		claimRevision,
 		spacingMs: () => 10,
 		onDeposed: () => void seen.deposed++,
 		onCancelAsked: id => void seen.cancelAsked.push(id),
--- a/packages/wire/src/json-client.ts
+++ b/packages/wire/src/json-client.ts
@@ -171,9 +171,9 @@
 
 		/** Returns, on the server's clock, as of when the call is wanted, to be sent now. */
 		function confirm(call: PendingCall): number {
-			const wantedAt = Math.min(systemClock.now(), call.confirmedAt())
-			call.lastConfirmedAt = Math.max(call.lastConfirmedAt, wantedAt)
-			return floorToTenth(peerClock.toPeer(wantedAt))
+			const confirmedAt = Math.min(systemClock.now(), call.confirmedAt())
+			call.lastConfirmedAt = Math.max(call.lastConfirmedAt, confirmedAt)
+			return floorToTenth(peerClock.toPeer(confirmedAt))
 		}
 
 		function begin(call: PendingCall) {
--- a/packages/wire/test/json-service.test.ts
+++ b/packages/wire/test/json-service.test.ts
@@ -109,10 +109,10 @@
 	 * report that time and not the time of the loss.
 	 */
 	it("reports the last confirmation that the server received of a lost call", async () => {
-		let toldAt = -Infinity
+		let serverConfirmedAt = -Infinity
 		const {server, client} = await createWorld({
 			wait(_message, {confirmedAt}) {
-				toldAt = confirmedAt()
+				serverConfirmedAt = confirmedAt()
 				return sleep(2_000)
 			},
 		})
@@ -128,7 +128,7 @@
 			.to.have.property("lastConfirmedAt")
 			.that.is.within(lostAt - 250, lostAt + 20)
 		// Client and server share one clock here.
-		expect(toldAt).to.be.at.most((last as {lastConfirmedAt: number}).lastConfirmedAt)
+		expect(serverConfirmedAt).to.be.at.most((last as {lastConfirmedAt: number}).lastConfirmedAt)
 		client.close()
 	})
 
