--- a/packages/jobs/src/store-watches.ts
+++ b/packages/jobs/src/followers.ts
@@ -1,5 +1,5 @@
 /**
- * Watches what an instance reads from the store besides the configuration: the fleet's members and
+ * Follows what an instance reads from the store besides the configuration: the fleet's members and
  * claims, and the executors of the domains that it places.
  */
 import type {Clock, Store, StoreItem} from "@cottonwood/core"
@@ -40,7 +40,7 @@
 }
 
 /** The store, and how its executor entries are decoded. */
-interface WatchSource {
+interface FollowSource {
 	readonly store: Store
 	readonly log: EventLog
 	readonly metrics: JobMetrics
@@ -48,10 +48,10 @@
 	readonly decodeExecutor: (item: StoreItem) => ExecutorRecord | undefined
 }
 
-/** Watches members and claims in the store. */
-export function watchFleet(
+/** Follows members and claims in the store. */
+export function followFleet(
 	clock: Clock,
-	{store, log}: WatchSource,
+	{store, log}: FollowSource,
 	view: FleetView,
 	onListed: () => void,
 ): Follower {
@@ -71,12 +71,12 @@
 }
 
 /**
- * Watches the platform's list of executors while this instance places a failure domain or has a
+ * Follows the platform's list of executors while this instance places a failure domain or has a
  * claim of its previous process, so that a restarted fleet reads it while claims are written.
  */
-export function watchExecutors(
+export function followExecutors(
 	clock: Clock,
-	{store, log, metrics, executorPrefix, decodeExecutor}: WatchSource,
+	{store, log, metrics, executorPrefix, decodeExecutor}: FollowSource,
 	hosts: HostedPlacers,
 	ownClaims: OwnClaims,
 	config: () => FleetConfig | undefined,
--- a/packages/jobs/src/instance.ts
+++ b/packages/jobs/src/instance.ts
@@ -31,7 +31,7 @@
 import {speedStoreOpenerFor} from "./fleet/speed-store.js"
 import {createLagMonitor} from "./fleet/lag-monitor.js"
 import {registerInstanceMetrics} from "./instance-metrics.js"
-import {createOwnClaims, ofConfiguredServices, watchExecutors, watchFleet} from "./store-watches.js"
+import {createOwnClaims, followExecutors, followFleet, ofConfiguredServices} from "./followers.js"
 import type {KeptJobRouter} from "./keep/kept-job-router.js"
 import {createKeptJobService} from "./keep/kept-job-service.js"
 import type {LeaseRule} from "./decide/lease-rule.js"
@@ -190,7 +190,7 @@
 		queueOf: name => config.current()?.queues.find(queue => queue.name === name),
 	})
 
-	const executors = watchExecutors(clock, deps, hosts, ownClaims, config.current)
+	const executors = followExecutors(clock, deps, hosts, ownClaims, config.current)
 
 	const heartbeatHandler = createHeartbeatHandler({
 		...common,
@@ -201,7 +201,7 @@
 		isLeaving: () => isLeaving,
 	})
 
-	const fleetWatch = watchFleet(clock, deps, view, () => {
+	const fleetFollower = followFleet(clock, deps, view, () => {
 		isListed = true
 		claims?.checkNow()
 	})
@@ -285,7 +285,7 @@
 				heartbeats,
 				config,
 			]
-			const serving = [fleetWatch, executors, hosts, datagrams, server, peers]
+			const serving = [fleetFollower, executors, hosts, datagrams, server, peers]
 			for (const part of [...deciding, ...serving]) part.close()
 		},
 	}
