--- a/packages/jobs/src/instance.ts
+++ b/packages/jobs/src/instance.ts
@@ -213,7 +213,7 @@
 		runJob: (message, caller) => dispatcher.runJob(message, caller),
 		runTask: (message, caller) => dispatcher.runTask(message, caller),
 		takeOver: message => handover.takeOver(message),
-		kept: message => keptJobs.router.answer(message),
+		kept: message => keptJobs.front.answer(message),
 	})
 	const datagrams = await openDatagrams(
 		self.address,
@@ -264,7 +264,7 @@
 		config: config.current,
 		dispatch: dispatcher.dispatch,
 		trackConnection: watermark.trackConnection,
-		kept: keptJobs.router,
+		kept: keptJobs.front,
 		notReadyCause: () => notReadyCauseOf(isLeaving, config.current(), dispatcher),
 		isLeaving: () => isLeaving,
 		async leave() {
--- a/packages/jobs/src/keep/kept-job-service.ts
+++ b/packages/jobs/src/keep/kept-job-service.ts
@@ -39,7 +39,7 @@
 }
 
 export interface KeptJobService {
-	readonly router: KeptJobRouter
+	readonly front: KeptJobRouter
 	createKeeper(claim: Claim, onDeposed: () => void): Keeper
 	close(): void
 }
@@ -73,13 +73,13 @@
 	async function notifyPlacer({failureDomain, placer}: Claim, id: string) {
 		const message = {type: "fetch", id, failureDomain} as const
 		const reply = hosts.of(failureDomain)
-			? await router.answer(message)
+			? await front.answer(message)
 			: await peers.kept(placer.address, message, NOTIFY_TIMEOUT_MS).reply
 		const fields = {job: id, peer: placer.name, failureDomain, outcome: reply?.type ?? "silent"}
 		log.event("job", "home_told", "job: notified its new home.", fields)
 	}
 
-	const router = createKeptJobRouter({
+	const front = createKeptJobRouter({
 		...deps,
 		keeperOf: domain => hosts.of(domain)?.keeper,
 		roomOf,
@@ -92,7 +92,7 @@
 		isOnDuty: () => hosts.of([...deps.failureDomains].sort()[0] as string) !== undefined,
 	})
 	return {
-		router,
+		front,
 		createKeeper: (claim, onDeposed) =>
 			createKeeper({
 				...deps,
--- a/packages/jobs/src/keep/ledger.ts
+++ b/packages/jobs/src/keep/ledger.ts
@@ -89,7 +89,7 @@
 	revision: number
 	/** Number of the latest requested change. */
 	version: number
-	writtenVersion: number
+	written: number
 	isInFlight: boolean
 	/** A write without an answer may have been done or may still be done. */
 	isOutcomeUnknown: boolean
@@ -118,7 +118,7 @@
 			isReleased: false,
 			revision,
 			version: 0,
-			writtenVersion: 0,
+			written: 0,
 			isInFlight: false,
 			isOutcomeUnknown: false,
 			isEndSent: false,
@@ -147,7 +147,7 @@
 	function flush() {
 		if (isClosed || inFlight >= MAX_IN_FLIGHT) return
 		const due = [...entries.values()].filter(
-			entry => !entry.isInFlight && entry.writtenVersion < entry.version,
+			entry => !entry.isInFlight && entry.written < entry.version,
 		)
 		if (due.length === 0) return
 		nextAt = clock.now() + Math.max(retryDelayMs, deps.spacingMs())
@@ -186,10 +186,9 @@
 	function handleDone(entry: Entry, version: number, revision: number) {
 		const hasEnded = entry.isEndSent
 		entry.revision = revision
-		entry.writtenVersion = version
-		resolveWaiters(entry, entry.writtenVersion, "written")
-		if (hasEnded || (entry.isReleased && entry.writtenVersion === entry.version))
-			drop(entry, "written")
+		entry.written = version
+		resolveWaiters(entry, entry.written, "written")
+		if (hasEnded || (entry.isReleased && entry.written === entry.version)) drop(entry, "written")
 	}
 
 	function resolveWaiters(entry: Entry, version: number, written: WriteOutcome) {
@@ -215,8 +214,8 @@
 		const [writer, version] = stored.writer.split("/")
 		if (writer === entry.writerId) {
 			entry.revision = open.revision
-			entry.writtenVersion = Math.max(entry.writtenVersion, Number(version))
-			return resolveWaiters(entry, entry.writtenVersion, "written")
+			entry.written = Math.max(entry.written, Number(version))
+			return resolveWaiters(entry, entry.written, "written")
 		}
 		if (entry.revision === 0) return drop(entry, "exists")
 		if (stored.home !== entry.record.home) return handleMissing(entry)
