--- a/packages/jobs/src/keep/ledger.ts
+++ b/packages/jobs/src/keep/ledger.ts
@@ -89,6 +89,7 @@
 	revision: number
 	/** Number of the latest requested change. */
 	version: number
+	/** Number of the latest change in the store. */
 	written: number
 	isInFlight: boolean
 	/** A write without an answer may have been done or may still be done. */
