--- a/packages/jobs/src/coordinate/admission.ts
+++ b/packages/jobs/src/coordinate/admission.ts
@@ -1,8 +1,9 @@
 /**
- * Admission at one placer: keeps what its decisions are made of, and tells callers as soon as a wait has become useless.
+ * Admission control at one placer: judges arriving jobs by a start forecast, and refuses queued jobs whose forecast gets
+ * worse. Created by hosted placers.
  *
- * The sums of asked and served work, the corrections of forecasts and the unstarted jobs live here, as long as the placer
- * does. Nothing of it is told to others or outlasts the instance: a successor begins with none, as for an even load.
+ * The sums of requested and served work, the forecast corrections and the list of unstarted jobs live as long as the
+ * placer. They are not shared, and a successor starts without them.
  */
 import type {Clock} from "@cottonwood/core"
 import {
@@ -42,9 +43,9 @@
 import {createRefusal, type Refusal} from "./refusals.js"
 import {createUnstartedJobs, type UnstartedJob} from "./unstarted-jobs.js"
 
-/** What is read by a walk is read anew after this; a fraction of the shortest tasks. */
+/** A reading of load and shares is reused for this long. */
 const READING_AGE_MS = 10
-/** Unstarted jobs are looked at so often, the last of the order first. */
+/** Interval between checks of unstarted jobs, which start at the end of their order. */
 const SWEEP_MS = 25
 const LOOKED_AT = 16
 
@@ -53,16 +54,16 @@
 	readonly log: EventLog
 	readonly metrics: JobMetrics
 	readonly placer: Pick<Placer, "load" | "work" | "workBefore" | "isStartingUp" | "hasRoomFor">
-	/** Cores that other domains told of and that this placer may count on. */
+	/** Free cores of other failure domains that this placer may count on. */
 	readonly borrowableCores: () => number
 	/** The queues of the configuration in force. */
 	readonly queues: () => readonly ShareRule[]
 }
 
 export interface Admission {
-	/** Judges a job that comes. */
+	/** Decides on an arriving job: a refusal, or admission in time or late (behind all jobs that can be on time). */
 	assess(job: Job, queue: Queue): Refusal | "in time" | "late"
-	/** Follows a job that was taken until all that can start of it has. */
+	/** Tracks an admitted job until all its first tasks have started, or the job has ended. */
 	follow(job: Job, queue: Queue, run: JobRun, isLate: boolean): void
 	close(): void
 }
@@ -71,14 +72,14 @@
 	readonly at: number
 	readonly load: PlacerLoad
 	readonly shares: ReadonlyMap<string, Share>
-	/** Work asked for of late, as a share of what the sound executors carry. */
+	/** Recently requested work divided by what the usable executors can do. */
 	readonly askedOfRoom: number
 }
 
 export function createAdmission(deps: AdmissionDeps): Admission {
 	const {clock, metrics, placer} = deps
 	const work = new Map<string, QueueWork>()
-	/** By queue: wide jobs wait longer until their last task has room. */
+	/** Forecast correction by queue. Jobs with many tasks wait longer until the last task has room. */
 	const corrections = new Map<string, number>()
 	const unstarted = createUnstartedJobs()
 	let reading: Reading | undefined
@@ -102,7 +103,7 @@
 		setBounded(work, name, addWork(work.get(name) ?? NO_WORK, clock.now(), asked, served))
 	}
 
-	/** `ownWork`: what of the job itself waits already. */
+	/** `ownWork`: the part of the job's own work that is already queued, in core-milliseconds. */
 	function forecast(job: Job, startBy: number, ownWork: number): Forecast {
 		return forecastOf(demandOf(job), {
 			load: read().load,
@@ -127,7 +128,10 @@
 		}
 	}
 
-	/** Where it would find room at once it takes nobody's turn: what waits wants more at a time than there is. */
+	/**
+	 * Whether the job finds room at once. Queued jobs may need more room at a time than is free, so this job delays none of
+	 * them.
+	 */
 	function fitsNow(job: Job, {service}: Queue): boolean {
 		const [first] = job.steps
 		if (!first || read().load.freeCores < demandOf(job).cores) return false
@@ -152,7 +156,7 @@
 		run.refuse(refusal(job, queue, reason, told, drainMs(placer.work(), read().load)))
 	}
 
-	/** What waits and has had more than its due may go in the newcomer's place. */
+	/** Refuses a queued job of a queue above its share, so that the newcomer can be admitted. */
 	function makeRoomFor(job: Job, queue: Queue, {slackMs, share}: AdmissionInput): boolean {
 		const now = clock.now()
 		const newcomer = {slackMs, share, work: workOf(job)}
@@ -192,7 +196,10 @@
 		cancelSweep = clock.schedule(SWEEP_MS, sweep)
 	}
 
-	/** All that could start of it has started, or it has waited for longer than was forecast. */
+	/**
+	 * Records the forecast error once all first tasks have started or the job is refused, and corrects later forecasts of
+	 * the queue.
+	 */
 	function noteWait({queue, takenAt, told, isLate}: UnstartedJob) {
 		const waitedMs = clock.now() - takenAt
 		const errorMs = waitedMs - told.startInMs
@@ -203,7 +210,7 @@
 		setBounded(corrections, queue.name, updateCorrection(before, told.startInMs, waitedMs))
 	}
 
-	/** What is answered late counts as not served: its queue has had less than it seems. */
+	/** Takes back the job's served work when its answer is late or not a success. */
 	function noteEnd(item: UnstartedJob, end: JobEnd) {
 		const {job, queue, isLate} = item
 		unstarted.remove(item)
@@ -220,7 +227,7 @@
 
 	return {
 		assess(job, queue) {
-			// Within a moment it has executors; what can start in time then is worth the wait.
+			// A placer that has just begun gets its executors within milliseconds; a short wait beats a refusal.
 			if (placer.isStartingUp()) return take(job, queue)
 			const startBy = latestStartOnTime(job, queue)
 			const told = forecast(job, startBy, 0)
--- a/packages/jobs/src/coordinate/candidates.ts
+++ b/packages/jobs/src/coordinate/candidates.ts
@@ -1,6 +1,6 @@
 /**
- * Which placers a job is offered to, and in which order: the own domain's first, none of a domain that is emptied.
- * Where the own domain is divided, its callers' jobs are spread over its slices.
+ * Chooses the placers that the dispatcher offers a job to, and their order: this instance's failure domain first, evacuated
+ * ones never. In a sliced domain the jobs are spread over its slices.
  */
 import {failureDomainOf} from "../decide/slices.js"
 import type {FleetView} from "../fleet/members.js"
@@ -9,11 +9,11 @@
 import type {Claim, Member} from "../types/fleet.js"
 import type {HostedPlacers} from "./hosted-placers.js"
 
-/** A placer that said nothing for so long gets no new jobs: three beats. */
+/** A placer that has been silent this long gets no new jobs: three heartbeats. */
 const PLACER_QUIET_MS = 650
 /**
- * With calls under way it is heard ten times a second; without three of these words new jobs go to others that are heard. When a
- * placer's machine is gone its domain's callers send it some 100 jobs a second, which may not be tried again.
+ * A placer with open calls confirms them every 100 ms. After three missed confirmations new jobs go to others: a job sent
+ * to a lost machine may not be tried again.
  */
 const STREAM_QUIET_MS = 300
 
@@ -22,28 +22,28 @@
 	readonly self: Member
 	readonly hosts: Pick<HostedPlacers, "of" | "lastReportedRoom">
 	readonly peers: Pick<Peers, "quietMs">
-	/** By how much this instance's own timers were late of late, in milliseconds. */
+	/** Recent lateness of this instance's timers, in milliseconds. */
 	readonly ownLateMs: () => number
-	/** Whether operators are emptying a failure domain. */
+	/** Whether operators are evacuating a failure domain. */
 	readonly isEvacuated: (failureDomain: string) => boolean
 }
 
 export interface Candidates {
-	/** Placers in the order in which a job that comes now would ask them. */
+	/** Claims of the placers that a new job would ask, in that order. */
 	candidates(): readonly Claim[]
-	/** Whether there is any; asking takes nobody's turn. */
+	/** Whether there is any candidate; doesn't advance the rotation. */
 	hasCandidates(): boolean
-	/** A placer of which nothing is known either way; a last resort, since it may be cut off. */
+	/** Whether nothing is known of the placer's state. It may be cut off, so it is asked last. */
 	isUntold(claim: Claim): boolean
-	/** Every domain that has a placer is being emptied. */
+	/** Whether every failure domain that has a placer is being evacuated. */
 	areAllEmptied(): boolean
 }
 
 export function createCandidates(deps: CandidatesDeps): Candidates {
 	const {view, self, hosts, peers, isEvacuated} = deps
-	/** Which of several domains that suit alike is asked first. */
+	/** Rotates the failure domain that is asked first. */
 	let turn = 0
-	/** Which two slices of the own domain are weighed next. */
+	/** Rotates the two slices of the own failure domain that are compared. */
 	let sliceTurn = 0
 
 	const isOwn = ({placer}: Claim) => placer.session === self.session
@@ -60,7 +60,7 @@
 		return host !== undefined && (host.placer.canServe() || host.placer.isStartingUp())
 	}
 
-	/** Nothing says that its machine is gone, though its beats may still count. */
+	/** Whether the placer's connection is alive too, which shows a lost machine earlier than missing heartbeats do. */
 	function isAnswering(claim: Claim): boolean {
 		const {placer} = claim
 		if (isOwn(claim)) return isHeard(claim)
@@ -69,12 +69,12 @@
 		return isHeard(claim) && !isQuiet
 	}
 
-	/** It has found nobody to hand over to yet, and nobody else is heard: cut off, it is all that there is. */
+	/** A leaving placer that hasn't found a successor yet; the only choice when nobody else is heard. */
 	function isLeavingPlacer({placer}: Claim): boolean {
 		return isNear(placer) && view.isLeaving(placer.session)
 	}
 
-	/** Another life has begun since under its name: nobody places for the one before. */
+	/** Whether a newer session is known under the same instance name. */
 	function isFollowed({name, session}: Member): boolean {
 		const isLater = (member: Member) => member.name === name && member.session !== session
 		return isLater(self) || view.members().some(isLater)
@@ -85,7 +85,7 @@
 		return !isOwn(claim) && view.isUnknown(placer.session) && !isFollowed(placer)
 	}
 
-	/** Until their beats come, the other domains' placers count as there for the callers of a domain that is emptied. */
+	/** While the own failure domain is evacuated, placers of others are candidates before their first heartbeat. */
 	function isRefuge(claim: Claim): boolean {
 		const {placer} = claim
 		if (!isOwnDomainEmptied() || isOwn(claim)) return false
@@ -102,7 +102,10 @@
 
 	const isHome = ({failureDomain}: Claim) => failureDomainOf(failureDomain) === self.failureDomain
 
-	/** Of the own domain's slices two in their turn are weighed: if all went to the least busy one, it would be that no more. */
+	/**
+	 * Compares two of the own domain's slices in rotation; if all jobs went to the least busy one, it would soon be the
+	 * busiest.
+	 */
 	function sliceFirst(claims: readonly Claim[]): readonly Claim[] {
 		const slices = claims.filter(isHome)
 		const [one, two] = [slices[sliceTurn % slices.length], slices[(sliceTurn + 1) % slices.length]]
@@ -119,7 +122,7 @@
 
 	const waitingWork = ({failureDomain}: Claim) => view.roomOf(failureDomain)?.room.waitingWork ?? 0
 
-	/** Claims that jobs may be offered to, the best kind first. */
+	/** Kinds of candidates, best first. */
 	const kinds = [isAnswering, isHeard, isLeavingPlacer, isUntold, isRefuge]
 
 	function hasCandidates(): boolean {
@@ -127,7 +130,7 @@
 		return kinds.some(isWanted => open.some(isWanted))
 	}
 
-	/** Those of the best kind that there is. */
+	/** The claims of the best kind that has any. */
 	function bestClaims(): readonly Claim[] {
 		const open = view.claims().filter(isOpen)
 		for (const isWanted of kinds) {
@@ -137,7 +140,7 @@
 		return []
 	}
 
-	/** The callers of a domain that is emptied are spread over the others, each of which is asked first in its turn. */
+	/** Spreads the callers of an evacuated domain over the others in rotation. */
 	function inTurn(claims: readonly Claim[]): readonly Claim[] {
 		if (claims.length === 0 || !isOwnDomainEmptied()) return claims
 		turn = (turn + 1) % claims.length
--- a/packages/jobs/src/coordinate/dispatcher.ts
+++ b/packages/jobs/src/coordinate/dispatcher.ts
@@ -1,5 +1,6 @@
 /**
- * Takes jobs from callers to placers: here, or at another instance.
+ * The coordinator: passes jobs from callers and other instances to placers, here or elsewhere, and returns how they ended.
+ * Used by each instance.
  */
 import type {Clock} from "@cottonwood/core"
 import {failureDomainOf} from "../decide/slices.js"
@@ -18,19 +19,19 @@
 import {latestStartOnTime} from "./job-run.js"
 import type {Refusal} from "./refusals.js"
 
-/** Failure domains that are tried in turn for a job that no placer has seen yet. */
+/** Maximum number of failure domains that are asked about one job. */
 const MAX_DOMAINS_TRIED = 3
-/** And placers of one that is divided: the second one shows whether it is the domain that is full. */
+/** Maximum number of slices asked per failure domain; the second one shows whether the whole domain is full. */
 const MAX_SLICES_TRIED = 2
-/** A job that was refused by a backlog after it had waited so long is not tried elsewhere. */
+/** A job that was refused for the backlog later than this after its arrival isn't tried elsewhere. */
 const ELSEWHERE_MS = 25
-/** After a loss of all instances placers are there within this, from the start of the process. */
+/** A placer is expected to appear within this time after the start of the process or a change of the claim. */
 const BEGINNING_MS = 1_000
-/** A fraction of the shortest task. */
+/** Interval between looks for a placer while there is none. */
 const PLACER_POLL_MS = 10
-/** Those who place nothing yet are asked again after this: at that moment each of them has more to do than it can. */
+/** Wait before asking again when the placers asked don't place yet; they are busy starting. */
 const ASKED_AGAIN_MS = 50
-/** A placer's answer at the deadline itself takes a moment to arrive. */
+/** An answer is awaited this long beyond the job's deadline. */
 const ANSWER_SLACK_MS = 400
 
 export interface DispatcherDeps {
@@ -43,32 +44,35 @@
 	readonly config: () => FleetConfig | undefined
 	readonly refreshConfig: () => void
 	readonly isLeaving: () => boolean
-	/** By how much this instance's own timers were late of late, in milliseconds. */
+	/** Recent lateness of this instance's timers, in milliseconds. */
 	readonly ownLateMs: () => number
-	/** Whether operators are emptying a failure domain. */
+	/** Whether operators are evacuating a failure domain. */
 	readonly isEvacuated: (failureDomain: string) => boolean
-	/** Follows jobs that placers may send elsewhere as a whole; absent: none may. */
+	/** Tracks a job that placers may move to another failure domain. Absent: jobs are not moved. */
 	readonly followMoves?: (job: Job) => MovedJob
-	/** What becomes of jobs whose placer fell silent; without it their callers are told at once that their end is open. */
+	/** Handles jobs whose placer stopped responding. Absent: the caller gets an unknown outcome at once. */
 	readonly rescheduleLostJob?: RescheduleLostJob
 }
 
 export interface Dispatcher {
-	/** Runs a job to its end, here or at another instance. */
+	/** Runs a job at a placer here or at another instance, and resolves with its end. */
 	dispatch(job: Job, queue: Queue, caller: Caller): Promise<JobEnd>
-	/** Runs a job that another instance's caller handed in. */
+	/** Runs a job for another instance. Replies "not placer" when the failure domain isn't placed here. */
 	runJob(message: JobMessage, caller: Caller): Promise<JobReply>
-	/** Runs a task of a job that another placer has. */
+	/**
+	 * Runs a task for another placer. Replies "not placer" when the failure domain isn't placed here, or this instance is
+	 * leaving.
+	 */
 	runTask(message: TaskMessage, caller: Caller): Promise<TaskReply>
-	/** Placers in the order in which a job that comes now would ask them. */
+	/** Claims of the placers that a new job would ask, in that order. */
 	candidates(): readonly Claim[]
-	/** Whether a job that comes now would find a placer. */
+	/** Whether a new job would find a placer, or can be refused because all failure domains are evacuated. */
 	canPlace(): boolean
-	/** Jobs and tasks under way here, for callers and for peers. */
+	/** Number of jobs and tasks in progress here, for callers and for peers. */
 	workCount(): number
 }
 
-/** What this instance heard of itself, or of a life before it at its address, is no age of a placer's word. */
+/** Log fields on the placer that was asked. The age of the last message is only meaningful for other instances. */
 function whoIsAsked({view, self}: DispatcherDeps, {placer, fence, failureDomain}: Claim) {
 	const isOwn = placer.session === self.session
 	const silentMs = isOwn ? Infinity : Math.round(view.silentMs(placer.session))
@@ -82,7 +86,7 @@
 	}
 }
 
-/** A placer's word to ask another one that says nothing that could be followed. */
+/** The end of a job that its placer moves to a target that can't be used. */
 const NOWHERE: JobEnd = {
 	type: "refused",
 	kind: "no_capacity",
@@ -91,10 +95,10 @@
 
 type Unbegun = JobMove | {readonly type: "unsent" | "not placer"}
 
-/** Whoever was asked has not begun the job, and will not. */
+/** The placer asked hasn't started the job and won't. */
 const isUnbegun = (end: JobReply | LostAtPlacer | {readonly type: "unsent"}): end is Unbegun =>
 	end.type === "unsent" || end.type === "not placer" || end.type === "elsewhere"
-/** What came of asking placers in turn; without an end the job has certainly not begun, and nobody has refused it. */
+/** Result of asking placers in turn. No end: the job hasn't started, and no placer refused it. */
 interface Asked {
 	readonly end: JobEnd | LostAtPlacer | undefined
 	readonly wasAnyAsked: boolean
@@ -104,7 +108,10 @@
 
 const noCapacity = (cause: string): JobEnd => ({type: "refused", kind: "no_capacity", cause})
 
-/** A refusal by forecast comes as soon as it is known, and elsewhere the job may still be in time. */
+/**
+ * Whether another placer may still take a refused job. A refusal by forecast arrives early enough for that while the job
+ * can still be on time.
+ */
 function mayGoElsewhere(job: Job, queue: Queue, {retryAfterMs}: Refusal, now: number): boolean {
 	if (retryAfterMs !== undefined) return now < latestStartOnTime(job, queue)
 	return now - job.receivedAt <= ELSEWHERE_MS
@@ -164,7 +171,7 @@
 		return {type: "lost", cause: `${claim.placer.name} is silent`, lastConfirmedAt: wantedAt}
 	}
 
-	/** Just after a start, or a change of the placer, there is one within a moment; a job waits for it while it may be in time. */
+	/** Whether the job may wait for a placer: shortly after a start or a change of placer one appears soon. */
 	function mayWaitForPlacer(job: Job, queue: Queue): boolean {
 		const now = clock.now()
 		const isBeginning =
@@ -172,7 +179,7 @@
 		return isBeginning && now < latestStartOnTime(job, queue)
 	}
 
-	/** Where a job was sent, or else the next placer that suits it. */
+	/** The target of a move, or else the next placer that hasn't been tried. */
 	function nextClaim(tried: ReadonlySet<string>, wasRefused: boolean, moved?: MovedJob) {
 		const target = moved?.next()
 		const domains = [...tried].map(failureDomainOf)
@@ -196,7 +203,7 @@
 		return NOWHERE
 	}
 
-	/** Asks placers in turn, and waits for one that begins as long as nobody has the job or has refused it. */
+	/** Asks placers until one has started or refused the job; waits for a placer where that is likely to help. */
 	async function tryPlacers(
 		job: Job,
 		queue: Queue,
@@ -212,7 +219,7 @@
 		}
 	}
 
-	/** Asks placers in turn, as long as those before have certainly not begun the job. */
+	/** Asks each placer once, as long as the previous ones have certainly not started the job. */
 	async function askInTurn(
 		job: Job,
 		queue: Queue,
@@ -241,7 +248,7 @@
 	}
 
 	function noteTry(job: Job, claim: Claim, outcome: string) {
-		// Whoever was asked may have the job all the same, but for what was never sent.
+		// The placer asked may have the job all the same, unless the call was never sent.
 		const write = outcome === "given up" ? log.alarm : log.event
 		write("job", "placer_asked", "job: a placer answered.", () => ({
 			job: job.id,
@@ -252,15 +259,15 @@
 	}
 
 	/**
-	 * A job goes by the newer of both configurations. A placer that is cut off from the store may have an older
-	 * one for long; waiting for it would hold every job that comes from elsewhere.
+	 * The job's queue by the newer configuration of sender and receiver. A placer that is cut off from the store may keep
+	 * an old version for long, and must not hold jobs up meanwhile.
 	 */
 	function queueFor({job, queue, configVersion}: JobMessage): Queue | undefined {
 		const own = deps.config()
 		if (own && own.version >= configVersion) return own.queues.find(({name}) => name === job.queue)
 		deps.refreshConfig()
 		const fields = {job: job.id, queue: queue.name, configVersion}
-		log.event("config", "queue_from_peer", "config: a job came under a newer version.", fields)
+		log.event("config", "queue_from_peer", "config: a job arrived with a newer version.", fields)
 		return queue
 	}
 
@@ -270,7 +277,7 @@
 			return counted(place(job, queue, untilDeadline(caller, job)))
 		},
 		async runJob(message, caller) {
-			// A leaving placer has its host until somebody has taken the domain over; what comes until then goes along.
+			// A leaving placer stays until a successor takes over; jobs that arrive until then are handed over too.
 			const host = hosts.of(message.failureDomain)
 			if (!host) return {type: "not placer"}
 			const {madeAt} = caller
@@ -298,7 +305,7 @@
 			return counted(end)
 		},
 		candidates,
-		// Callers are told at once that nothing may start; other instances could tell them no more.
+		// While all failure domains are evacuated no other instance could place the job either.
 		canPlace: () => hasCandidates() || areAllEmptied(),
 		workCount: () => workCount,
 	}
--- a/packages/jobs/src/coordinate/job-run.ts
+++ b/packages/jobs/src/coordinate/job-run.ts
@@ -1,6 +1,6 @@
 /**
- * The progress of one job at the placer that has it: which tasks may start, what became of each, and
- * when the whole has ended.
+ * Runs one job at its placer: submits the tasks whose earlier steps are done, retries them, and settles how the job ended.
+ * Used by hosted placers.
  */
 import type {Clock} from "@cottonwood/core"
 import {
@@ -19,30 +19,30 @@
 import type {EventLog} from "../utils/log.js"
 import type {JobMetrics} from "../utils/metrics.js"
 
-/** A run number that an executor has seen already is followed by one this much higher. */
+/** Added to a run number that an executor has already seen. */
 export const RUN_NUMBER_STEP = 16
-/** Tasks that were given back or lost are tried again after this, so that a full fleet is not asked in a loop. */
+/** Delay before a returned or lost task is retried. */
 export const RETRY_MS = 15
-/** An answer after so many objectives is of no use to its submitter; from the users' pages. */
+/** An answer later than this many objectives is of no use to the caller. */
 const USELESS_OBJECTIVES = 3
 /**
- * A job of which nothing has started is refused after so many objectives, or this share of its time: it would be
- * late by then, and whoever waits behind it too.
+ * Without forecasts, a job is refused when nothing has started after this many objectives, or after this share of the time
+ * to its deadline. By then it would be late, and delay the jobs behind it.
  */
 const UNSTARTED_OBJECTIVES = 0.6
 const UNSTARTED_SHARE = 0.4
-/** Runs that were lost do not count as attempts, but there is an end to everything. */
+/** Limit on runs of one task; lost runs don't count as failed attempts. */
 const MAX_RUNS = 12
 
 export interface JobRunDeps {
 	readonly clock: Clock
 	readonly log: EventLog
 	readonly metrics: JobMetrics
-	/** Steady milliseconds: as of when the job's caller is known to want it. */
+	/** Milliseconds on the monotonic clock: the last time as of which the caller is known to want the job. */
 	readonly confirmedAt: () => number
-	/** Whoever admitted it looks at it while it waits; then its patience has no end before its deadline. */
+	/** Admission watches the job while it waits, so the job itself only ends waiting at its deadline. */
 	readonly isWatched?: boolean
-	/** It was taken though it can't be in time: it goes behind all that can. */
+	/** The job was admitted late: its tasks go behind those of all jobs that can be on time. */
 	readonly isLate?: boolean
 	readonly submit: (
 		req: TaskRequest,
@@ -53,17 +53,17 @@
 
 export interface JobRun {
 	readonly ended: Promise<JobEnd>
-	/** Calls back once when something of it has started, and once when all that had nothing before it has. */
+	/** Calls `first` when the first task has started, and `whole` when all tasks without predecessors have. */
 	onStart(first: () => void, whole: () => void): void
-	/** Ends it with a refusal, unless something of it has started. */
+	/** Ends the job with a refusal, unless a task has started. */
 	refuse(end: JobEnd): void
-	/** Its submitter has left. */
+	/** Ends the job because its caller has left. */
 	cancel(): void
-	/** Its placer may place no more; what runs is left to the next fence. */
+	/** Ends the job because its placer lost its claim. What is running is left to the placer with the next fence. */
 	abandon(cause: string): void
-	/** Whether anything of it may have started. */
+	/** Whether a task may have started. */
 	isBegun(): boolean
-	/** Ends it as one that never ran, so that another placer may have it; only while nothing has begun. */
+	/** Ends the job as not run, so that another placer may have it. Only before anything has started. */
 	withdraw(): void
 }
 
@@ -79,7 +79,7 @@
 	isOver: boolean
 }
 
-/** The longest chain of estimated work through a job's steps, in milliseconds. */
+/** The longest chain of estimated run times through a job's steps, in milliseconds. */
 export function criticalPathMs(steps: readonly Step[]): number {
 	const ends: number[] = []
 	for (const step of steps) {
@@ -89,7 +89,7 @@
 	return Math.max(0, ...ends)
 }
 
-/** The longest chain of estimated work that waits for the end of a step, in milliseconds. */
+/** The longest chain of estimated run times that waits for the end of a step, in milliseconds. */
 function chainAfterMs(steps: readonly Step[], index: number): number {
 	const following = steps
 		.map((step, at) => ({step, at}))
@@ -97,21 +97,21 @@
 	return Math.max(0, ...following.map(({step, at}) => step.estimateMs + chainAfterMs(steps, at)))
 }
 
-/** Tasks with nothing before them. */
+/** Number of tasks in steps without predecessors. */
 const firstTaskCount = (steps: readonly Step[]) =>
 	steps.filter(({after}) => after.length === 0).reduce((sum, {count}) => sum + count, 0)
 
-/** When a job counts as late, in milliseconds from its arrival. */
+/** The time from a job's arrival after which it is late, in milliseconds. */
 export function objectiveMsOf(job: Job, queue: Queue): number {
 	return queue.stretch * criticalPathMs(job.steps) + queue.slackMs
 }
 
-/** For so long after its arrival an answer may be of use to the submitter, and is waited for, in milliseconds. */
+/** The time from a job's arrival during which an answer may be of use to the caller, in milliseconds. */
 export function answerUsefulMs(job: Job, queue: Queue): number {
 	return Math.min(job.deadlineAt - job.receivedAt, objectiveMsOf(job, queue) * USELESS_OBJECTIVES)
 }
 
-/** For so long after its arrival a job of which nothing has started is waited for, in milliseconds. */
+/** The time from a job's arrival during which it may wait for its first start, in milliseconds. */
 function unstartedForMs(job: Job, queue: Queue): number {
 	const shareMs = (job.deadlineAt - job.receivedAt) * UNSTARTED_SHARE
 	return Math.min(objectiveMsOf(job, queue) * UNSTARTED_OBJECTIVES, shareMs)
@@ -131,17 +131,17 @@
 	}
 }
 
-/** The steady time after which a job cannot meet its objective any more. */
+/** The latest start with which the job can meet its objective, in milliseconds on the monotonic clock. */
 export function latestStartOnTime(job: Job, queue: Queue): number {
 	return job.receivedAt + objectiveMsOf(job, queue) - criticalPathMs(job.steps)
 }
 
-/** Runs a job's tasks in the order of its steps until all are done or one has failed for good. */
+/** Runs a job's tasks step by step until all are done or one has finally failed. */
 export function startJobRun(job: Job, queue: Queue, deps: JobRunDeps): JobRun {
 	const {clock, log, metrics} = deps
 	const objectiveMs = objectiveMsOf(job, queue)
 	const dueAt = job.receivedAt + objectiveMs
-	/** Before now, at any placer: nothing that can be in time waits for it. */
+	/** Already past at any placer, so that no job that can be on time waits for this one. */
 	const lateSince = job.receivedAt - 1
 	const remaining = job.steps.map(step => step.count)
 	const begun = new Set<number>()
@@ -151,7 +151,7 @@
 	let tellWholeStart: () => void = () => undefined
 	let startsLeft = firstTaskCount(job.steps)
 	let isOver = false
-	/** As of when the caller wanted it, once it is over: what came after says nothing of this job's runs. */
+	/** The last confirmation at the job's end; later ones say nothing about this job's runs. */
 	let lastConfirmedAt = -Infinity
 	let settle: (end: JobEnd) => void = () => undefined
 	const ended = new Promise<JobEnd>(resolve => (settle = resolve))
@@ -225,7 +225,7 @@
 			task.run += RUN_NUMBER_STEP
 			return retry(task, "outnumbered", end.executor)
 		}
-		// Whatever was heard of its start: the job must not be refused as one that never ran.
+		// Even without news of a start, the job must not be refused as not run from here on.
 		noteStart()
 		task.run++
 		task.avoid.push(end.executor)
@@ -238,7 +238,7 @@
 		finish({type: "failed", cause: `${task.name} failed ${task.failures} times`})
 	}
 
-	/** An executor has ended under the task: by its fault for certain, perhaps, or by chance. */
+	/** Counts an executor's crash while it ran the task: certainly, possibly or not caused by the task. */
 	function takeCrash(task: TaskState, executor: string, crash: Crash) {
 		task.crashes = countCrash(task.crashes, crash)
 		noteCrash(deps, {job: job.id, task: task.name, run: task.run, executor, outcome: crash})
@@ -277,14 +277,14 @@
 		finish({type: "refused", kind: "overloaded", cause: `${cause} before anything started`})
 	}
 
-	/** The caller is told while it still has time to come back. */
+	/** Refuses the job while its caller still has time to submit it again. */
 	function refuseUnstarted() {
 		if (firstStartAt !== undefined) return
 		const cause = "nothing of it could start in time"
 		finish({type: "refused", kind: "overloaded", cause})
 	}
 
-	/** Only what has started may run on under the next fence; the rest may be said not to have run, and come again. */
+	/** Tasks that have started may go on under the next fence. A job without any may be submitted again. */
 	function abandon(cause: string) {
 		if (firstStartAt !== undefined) finish({type: "given up", kind: "placer_lost", cause})
 		else
