--- a/packages/jobs/src/coordinate/arrival.ts
+++ b/packages/jobs/src/coordinate/arrival.ts
@@ -1,14 +1,15 @@
 /**
- * What arrives from callers and other instances, in times of this process: never taken for younger than it may be.
+ * Converts the times of arriving jobs and tasks to this process's clock, assuming the oldest possible age. Used by the
+ * dispatcher.
  */
 import type {TaskMessage} from "../fleet/peers.js"
 import type {TaskRequest} from "../place/run.js"
 import type {Caller, Job} from "../types/job.js"
 
-/** A call that may have lain unread for longer, four looks, is late by that for its objective too, not only for its deadline. */
+/** A call that may have waited unread for this long counts as earlier for its objective too, not only for its deadline. */
 const UNREAD_MS = 200
 
-/** What another placer asks for, in times of this process. */
+/** Another placer's task request, in times of this process. */
 export function requestOf(message: TaskMessage, {madeAt, confirmedAt}: Caller): TaskRequest {
 	return {
 		...message.task,
@@ -21,7 +22,9 @@
 	}
 }
 
-/** A call that lay unread here is as old as it may be, so that nothing runs for a caller that has given it up. */
+/**
+ * Dates a job back by the time that its call may have waited unread, so that nothing runs for a caller that has given up.
+ */
 export function sinceArrival(job: Job, {madeAt}: Caller): Job {
 	const {receivedAt, deadlineAt} = job
 	const unreadMs = Math.max(0, receivedAt - madeAt)
@@ -33,7 +36,7 @@
 	}
 }
 
-/** Nobody waits beyond the job's deadline, whatever is heard. */
+/** Limits the caller's confirmations to the job's deadline. */
 export function untilDeadline(caller: Caller, {deadlineAt}: Job): Caller {
 	return {...caller, confirmedAt: () => Math.min(deadlineAt, caller.confirmedAt())}
 }
--- a/packages/jobs/src/coordinate/borrowable-cores.ts
+++ b/packages/jobs/src/coordinate/borrowable-cores.ts
@@ -1,14 +1,12 @@
-/**
- * The room of other domains that a placer may count on in its forecasts.
- */
+/** The free capacity of other failure domains that a placer may count on in its forecasts. */
 import type {FleetView} from "../fleet/members.js"
 import type {Member} from "../types/fleet.js"
 
-/** Told room that is older says nothing any more: two beats. */
+/** Reports older than this are ignored: two heartbeats. */
 const ROOM_AGE_MS = 500
 const MILLICORES = 1_000
 
-/** All other placers are told of the same room; each counts on its part. */
+/** This placer's part of the other domains' free cores, since all other placers get the same reports. */
 export function borrowableCoresOf(view: FleetView, self: Member, now: number): number {
 	const claims = view.claims()
 	let lent = 0
--- a/packages/jobs/src/coordinate/demand.ts
+++ b/packages/jobs/src/coordinate/demand.ts
@@ -1,6 +1,4 @@
-/**
- * What a job asks for, in the figures that admission goes by.
- */
+/** A job's resource demand, as admission counts it. */
 import type {Demand} from "../decide/forecast.js"
 import type {Queue} from "../types/fleet-config.js"
 import type {Job} from "../types/job.js"
@@ -19,6 +17,6 @@
 	return {cores, chainMs: criticalPathMs(steps)}
 }
 
-/** The last start with which the job can end while its answer is of use, in steady milliseconds. */
+/** The latest start with which the job's answer can still be of use, in milliseconds on the monotonic clock. */
 export const lastStartOfUse = (job: Job, queue: Queue) =>
 	job.receivedAt + answerUsefulMs(job, queue) - criticalPathMs(job.steps)
--- a/packages/jobs/src/coordinate/division.ts
+++ b/packages/jobs/src/coordinate/division.ts
@@ -1,10 +1,10 @@
 /**
- * Divides a failure domain that has more executors than one placer should have: its first slice's placer asks an instance to
- * place the next slice.
+ * Slices a failure domain that has more executors than one placer should have: the placer of its first slice asks an
+ * instance to place the next one.
  *
- * Slices are added one at a time, and only while the placers of all those before are heard: each of them has to hand over what
- * runs on the executors that leave it. A slice is never taken away, since an executor would go back to a placer with a lower
- * fence; where instances are too few one of them places several slices.
+ * Slices are added one at a time, while all placers of the previous ones respond, since each hands over the runs on
+ * executors that leave it. Slices are never removed: an executor would return to a placer with a lower fence. One instance
+ * may place several slices.
  */
 import type {Clock} from "@cottonwood/core"
 import {
@@ -22,11 +22,14 @@
 import {shortSession, type EventLog} from "../utils/log.js"
 import type {JobMetrics} from "../utils/metrics.js"
 
-/** Five slices are there within two seconds, with the claims' writes in between. */
+/** Interval between checks for a further slice. */
 const LOOK_MS = 250
-/** A claim is written within this though the store is slow; until then no other instance is asked. */
+/**
+ * Time allowed for a takeover, which includes a claim's write to a possibly slow store. No other instance is asked
+ * meanwhile.
+ */
 const TAKE_TIMEOUT_MS = 1_800
-/** Three beats. */
+/** A placer that has been silent this long counts as not responding: three heartbeats. */
 const PLACER_QUIET_MS = 650
 
 export interface DivisionDeps {
@@ -36,7 +39,7 @@
 	readonly peers: Pick<Peers, "takeOver">
 	readonly view: FleetView
 	readonly self: Member
-	/** Undefined: no domain is ever divided. */
+	/** Undefined: failure domains are never sliced. */
 	readonly executorsPerPlacer: number | undefined
 	/** Whether this instance places the failure domain's first slice. */
 	readonly isPlacing: (failureDomain: string) => boolean
@@ -49,7 +52,7 @@
 	close(): void
 }
 
-/** Executors by their addresses: an earlier life may be listed beside the one that followed it. */
+/** Number of executors that stay, by address: a restarted one may be listed twice for a while. */
 function countStaying(records: readonly ExecutorRecord[]): number {
 	return new Set(records.filter(({isLeaving}) => !isLeaving).map(({address}) => address)).size
 }
@@ -71,7 +74,7 @@
 		return view.claims().some(({placer}) => placer.session === session)
 	}
 
-	/** The largest instance of the domain that places nothing yet. */
+	/** The largest instance of the failure domain that places nothing yet. */
 	function placerForNext(failureDomain: string): Member | undefined {
 		const able = placerCandidates(view.membersOf(failureDomain))
 		return able.find(member => isStaying(member) && !isPlacing(member))
--- a/packages/jobs/src/coordinate/handover.ts
+++ b/packages/jobs/src/coordinate/handover.ts
@@ -1,11 +1,9 @@
 /**
- * Hands a failure domain to another placer without losing a run: on a planned stop, from an instance of
- * another domain back to one of its own, from a small instance to a much larger one, and from one that cannot
- * keep up.
+ * Hands a failure domain over to another placer without losing a run: on a planned stop, from an instance of another domain
+ * back to one of its own, to a much larger instance, and from an overloaded one.
  *
- * The successor raises the fence first; from then on the placer before can order nothing. It then
- * gives every run to the successor, which goes on watching it, and tells the end to the job where it
- * began.
+ * The successor raises the fence first; from then on the previous placer's orders are refused. Then the previous placer
+ * gives every run to the successor, which reports its end to where the job began.
  */
 import type {Clock} from "@cottonwood/core"
 import {failureDomainOf, sliceIndexOf} from "../decide/slices.js"
@@ -18,23 +16,22 @@
 import type {Overflow} from "./overflow.js"
 
 /**
- * A claim is written within this though the store is slow (two calls of some 300 ms on bad days). A second
- * successor that is asked too early takes the domain from the first, and what ran is lost.
+ * Time allowed for a takeover, which includes two calls to a possibly slow store. Asking a second successor earlier would
+ * take the domain from the first, and its runs would be lost.
  */
 const TAKE_TIMEOUT_MS = 1_800
-/** Successors that are asked in turn; what is left of a stop's grace goes to the work under way. */
+/** Maximum number of successors asked; the rest of the stop's grace period is for work in progress. */
 const MAX_ASKED = 2
-/** A better placer must have been there this long before it gets the domain. */
+/** A better placer must have been available this long before it gets the domain. */
 const SETTLED_MS = 2_000
 const POLL_MS = 200
-/** A successor is not relieved at once in its turn. */
+/** Minimum time between two handovers because of overload. */
 const RELIEF_PAUSE_MS = 3_000
-/** A handover within a domain is worth its trouble for an instance so many times as large. */
+/** How many times larger an instance of the same domain must be to be worth a handover. */
 const MUCH_LARGER = 1.5
 /**
- * A domain comes back to an instance of its own that is much smaller than its placer only after this: a larger one that was
- * stopped is there again sooner. Two of 1.35 cores that were stopped in turn left their domain to one of 0.32, which refused
- * or was late with a third of its callers for three seconds.
+ * A domain goes back to an instance of its own that is much smaller than its placer only after this long; a restarted
+ * larger one is back sooner.
  */
 const SMALL_SETTLED_MS = 20_000
 
@@ -47,17 +44,17 @@
 	readonly hosts: HostedPlacers
 	readonly overflow: Overflow
 	readonly claims: () => ClaimsLoop
-	/** Where this instance places now. */
+	/** The failure domains and slices that this instance places. */
 	readonly placedDomains: () => readonly string[]
 	readonly isLeaving: () => boolean
-	/** Whether this instance cannot keep up. */
+	/** Whether this instance is overloaded. */
 	readonly isStrained: () => boolean
 }
 
 export interface Handover {
-	/** Gives every domain away that is placed here. */
+	/** Hands over every failure domain placed here, for a planned stop. */
 	handOverAll(): Promise<void>
-	/** Takes a domain over for a placer that asks. */
+	/** Takes a failure domain over from the placer that asks. Declined while leaving or overloaded, or for an old fence. */
 	takeOver(message: TakeOverMessage): Promise<TakeOverReply>
 	close(): void
 }
@@ -65,7 +62,7 @@
 export function createHandover(deps: HandoverDeps): Handover {
 	const {clock, log, peers, view, self, hosts, overflow} = deps
 	const betterSince = new Map<string, {readonly session: string; readonly at: number}>()
-	/** The handover of each domain that was begun last. */
+	/** The last handover begun, by failure domain. */
 	const underWay = new Map<string, Promise<boolean>>()
 	let relievedAt = -Infinity
 	let isClosed = false
@@ -90,10 +87,13 @@
 		return view.claims().some(({placer}) => placer.session === session)
 	}
 
-	/** It would not keep up with what is placed here. */
+	/** Whether the instance is too small for what is placed here. */
 	const isMuchSmaller = ({cpuShare}: Member) => cpuShare * MUCH_LARGER < self.cpuShare
 
-	/** Asks one instance at a time: a second one that is asked too early takes the domain from the first. */
+	/**
+	 * Hands the domain over to an instance, one request at a time: a second successor asked too early takes the domain from
+	 * the first.
+	 */
 	function giveTo(failureDomain: string, member: Member): Promise<boolean> {
 		const before = underWay.get(failureDomain) ?? Promise.resolve(false)
 		const next = before.then(() => askToTake(failureDomain, member))
@@ -129,7 +129,7 @@
 		return true
 	}
 
-	/** The claim that the asked instance has written though its answer did not come. */
+	/** The claim that the asked instance has written although its answer was lost. */
 	function claimSince({failureDomain, fence}: Claim, {session}: Member): Claim | undefined {
 		const known = view.claimOf(failureDomain)
 		return known && known.fence > fence && known.placer.session === session ? known : undefined
@@ -139,15 +139,15 @@
 		for (const member of successorsFor(failureDomain))
 			if (await giveTo(failureDomain, member)) return
 		const fields = {failureDomain}
-		log.alarm("placer", "handover_failed", "placer: nobody takes the domain over.", fields)
+		log.alarm("placer", "handover_failed", "placer: no instance took over the domain.", fields)
 	}
 
-	/** Another slice of the domain is placed here too, which an instance without any could do. */
+	/** Whether several slices of the domain are placed here, and this one could go to a free instance. */
 	function isOneTooMany(failureDomain: string): boolean {
 		return sliceIndexOf(failureDomain) > 0 && deps.placedDomains().length > 1
 	}
 
-	/** An instance of the domain itself that should place it rather than this one. */
+	/** The best instance of the domain itself that should place it instead of this one. */
 	function betterPlacer(failureDomain: string): Member | undefined {
 		const isFree = (member: Member) => !isDivided(failureDomain) || !isPlacing(member)
 		return view
@@ -170,7 +170,7 @@
 		return member.cpuShare > self.cpuShare * MUCH_LARGER
 	}
 
-	/** The same, once it has been there for a while. */
+	/** The better placer once it has been available long enough. */
 	function settledBetterPlacer(failureDomain: string): Member | undefined {
 		const better = betterPlacer(failureDomain)
 		const known = betterSince.get(failureDomain)
@@ -189,14 +189,14 @@
 		}
 	}
 
-	/** Gives away what this instance places, since it cannot keep up; to nobody that says the same of itself. */
+	/** Hands over everything placed here because of overload, to instances that aren't overloaded. */
 	async function seekRelief() {
 		relievedAt = clock.now()
 		for (const failureDomain of deps.placedDomains()) {
 			const member = successorsFor(failureDomain).find(({session}) => !view.isStrained(session))
 			if (!member) continue
 			const fields = {failureDomain, peer: member.name}
-			log.alarm("placer", "relief_sought", "placer: cannot keep up; gives its domain away.", fields)
+			log.alarm("placer", "relief_sought", "placer: overloaded; handing over its domain.", fields)
 			await giveTo(failureDomain, member)
 		}
 	}
--- a/packages/jobs/src/coordinate/heartbeat-handler.ts
+++ b/packages/jobs/src/coordinate/heartbeat-handler.ts
@@ -1,6 +1,4 @@
-/**
- * What an instance says of itself in its beats, and what it does with the beats and the news of room of others.
- */
+/** Builds this instance's heartbeat, and applies the heartbeats and room reports of other instances. */
 import {hasRoom} from "../fleet/heartbeats.js"
 import type {Configuration} from "../fleet/configuration.js"
 import type {Evacuations} from "../fleet/evacuations.js"
--- a/packages/jobs/src/coordinate/hosted-placers.ts
+++ b/packages/jobs/src/coordinate/hosted-placers.ts
@@ -1,5 +1,6 @@
 /**
- * The placers that this instance hosts: one for each failure domain whose claim it holds.
+ * The placers hosted by this instance, one for each failure domain or slice whose claim it holds. Used by the dispatcher,
+ * by handovers and by kept jobs.
  */
 import type {Placer, PlacerCounts} from "../place/placer.js"
 import type {PlacerDeps} from "../place/placer-state.js"
@@ -22,36 +23,35 @@
 import {latestStartOnTime, objectiveMsOf, startJobRun, type JobRun} from "./job-run.js"
 import {beenOf} from "./moved-job.js"
 
-/** Estimates are not good enough to refuse for a wait shorter than this. */
+/** Estimates are too inexact to refuse a job for a shorter wait. */
 const SHORT_WAIT_MS = 30
 /**
- * The work that may wait when a job is taken, as a share of its objective: what waits long in all starves whoever
- * can wait longest. Below the highest priority little may: those jobs would be served late, and make the urgent
- * ones late with them. At 1.5 times the load all kinds together earned 0.84 instead of 0.79 of their credit.
+ * Without forecasts: the queued work with which a job is still admitted, as a multiple of its objective. Lower for all but
+ * the highest priority, since their queued jobs would end late and delay urgent ones.
  */
 const URGENT_BACKLOG_OBJECTIVES = 2
 const BACKLOG_OBJECTIVES = 0.2
 const HIGHEST_PRIORITY = 0
 /**
- * Runs of the placer before are waited for this long from the claim on; a handover takes some ten round trips. Until all are
- * known no lease is renewed beside them; the leases that the placer before asked for last longer.
+ * After a handover's claim the runs of the previous placer are awaited this long. Until all are known no lease is renewed
+ * beside them; the leases that the previous placer requested last longer.
  */
 const HANDOVER_WAIT_MS = 500
-/** A claim that was asked for is written within this though the store is slow. */
+/** An expected claim is written within this time, even when the store is slow. */
 const CLAIM_WAIT_MS = 2_000
-/** Of the first claim that a failure domain ever has: nobody placed there before. */
+/** The fence of a failure domain's first claim: nobody has placed there before. */
 const FIRST_FENCE = 1
 
 export interface HostedPlacer {
 	readonly claim: Claim
-	/** The kept jobs whose home is the domain. */
+	/** The kept jobs owned by the failure domain. */
 	readonly keeper: Keeper
 	readonly placer: Placer
-	/** Absent where jobs are judged by the backlog. */
+	/** Absent where jobs are judged by the backlog instead of forecasts. */
 	readonly admission?: Admission
 	readonly jobs: Set<JobRun>
 	readonly speedKeeper?: SpeedStore
-	/** Executors that obey a higher fence, perhaps of a slice of which nothing has been heard yet. */
+	/** Executors that obey a higher fence, possibly of a slice whose claim isn't known here yet. */
 	readonly fenced: Set<string>
 }
 
@@ -71,44 +71,47 @@
 	readonly createKeeper: (claim: Claim, onDeposed: () => void) => Keeper
 	/** The failure domain's executors by the last list. */
 	readonly executorsOf: (failureDomain: string) => readonly ExecutorRecord[]
-	/** Whether operators are emptying the failure domain. */
+	/** Whether operators are evacuating the failure domain. */
 	readonly isEvacuated: (failureDomain: string) => boolean
-	/** Begins to keep what is learnt of a domain's executors; absent where each placer learns for itself. */
+	/** Starts storing the speeds learnt of a failure domain's executors. Absent: each placer learns for itself. */
 	readonly keepSpeeds?: (claim: Claim) => SpeedStore
-	/** Undefined: no failure domain is divided. */
+	/** Absent: no failure domain is sliced. */
 	readonly slices?: HostSlices
-	/** What jobs are judged by forecasts with; absent where they are judged by the backlog. */
+	/** Input of admission by forecast. Absent: jobs are judged by the backlog. */
 	readonly forecasting?: Pick<AdmissionDeps, "borrowableCores" | "queues">
-	/** Where whole jobs go that find no room here; absent: only their tasks go elsewhere. */
+	/** Moves whole jobs that find no room here. Absent: only single tasks go to other failure domains. */
 	readonly elsewhere?: JobMover
 }
 
 export interface HostedPlacers {
 	of(failureDomain: string): HostedPlacer | undefined
-	/** Begins or ends placing after a claim changed. */
+	/** Starts or stops placing after a claim has changed. */
 	noteClaim(claim: Claim): void
-	/** Whoever has the claim before this one hands its runs over; they are waited for, on the executors that it has. */
+	/** Announces a handover: the previous placer will hand over its runs on these executors. */
 	expectHandover(
 		claim: Pick<Claim, "failureDomain" | "fence">,
 		executors: readonly ExecutorRecord[],
 	): void
-	/** From now on a higher fence means that the successor has begun, not that all is lost. */
+	/** From here on a higher fence means that the successor has taken over; runs are kept until the handover ends. */
 	offerHandover(failureDomain: string): void
 	withdrawHandover(failureDomain: string): void
-	/** Gives a domain's runs and queue to the placer that has the claim now. */
+	/** Hands a failure domain's runs and queue over to the placer that holds the claim now. */
 	handOverTo(successor: Claim, overflow: Overflow): void
-	/** Takes the platform's list, of all failure domains. */
+	/** Takes the platform's list of the executors of all failure domains. */
 	setExecutors(records: readonly ExecutorRecord[]): void
-	/** A hosted domain's executors, those that the list has dropped included; none without a host. */
+	/**
+	 * The executors of a failure domain placed here, with those in use that the list has dropped; empty when it isn't
+	 * placed here.
+	 */
 	executorsOf(failureDomain: string): readonly ExecutorRecord[]
-	/** Runs a job at a placer here, refuses it at once, or says where it should go. */
+	/** Runs a job at a placer here and resolves with its end, a refusal, or the placer that should have it. */
 	run(host: HostedPlacer, job: Job, queue: Queue, caller: Caller): Promise<JobEnd | JobMove>
-	/** Placers elsewhere may have room now. */
+	/** Lets all placers here try their queues again, since other placers may have room. */
 	placeWaiting(): void
-	/** Operators empty other failure domains than before. */
+	/** Applies a change of the evacuated failure domains. */
 	noteEvacuations(): void
 	rooms(): Readonly<Record<string, Room>>
-	/** What others were told of a hosted domain's room last; costs nothing. */
+	/** The room of a failure domain placed here as last reported to others; a plain lookup. */
 	lastReportedRoom(failureDomain: string): Room | undefined
 	isPlacing(): boolean
 	counts(): PlacerCounts & {readonly kept: number}
@@ -126,7 +129,7 @@
 	return objectiveMsOf(job, queue) * (isUrgent ? URGENT_BACKLOG_OBJECTIVES : BACKLOG_OBJECTIVES)
 }
 
-/** What waits may want more room at once than there is, while this job would find enough. */
+/** Whether the job finds room at once. Queued jobs may need more room at a time than is free. */
 function canStartNow({steps}: Job, {service}: Queue, placer: Placer): boolean {
 	const [first] = steps
 	return first !== undefined && placer.hasRoomFor(first, service)
@@ -135,9 +138,9 @@
 export function createHostedPlacers(deps: HostedPlacersDeps): HostedPlacers {
 	const {clock, log, metrics, self} = deps
 	const hosts = new Map<string, HostedPlacer>()
-	/** Domains that the placer before hands over, until when the claim is waited for, and what it has there. */
+	/** Announced handovers by failure domain. */
 	const expected = new Map<string, Expected>()
-	/** Domains whose placing ends by a handover: another claim is expected. With what came of it meanwhile. */
+	/** Failure domains being handed over, with the cause that would have ended their placing meanwhile. */
 	const givenUp = new Map<string, string | undefined>()
 	let toldRooms: Readonly<Record<string, Room>> = {}
 	const moves = createSliceMoves({clock, log, hosts, slices: deps.slices, endPlacing})
@@ -164,10 +167,10 @@
 		keeper.begin(placer)
 		placer.setExecutors(handover?.executors ?? deps.executorsOf(failureDomain))
 		const fields = {failureDomain, fence, outcome: handover ? "handed over" : "taken"}
-		log.alarm("placer", "placing_begun", "placer: places a failure domain now.", fields)
+		log.alarm("placer", "placing_begun", "placer: began placing a failure domain.", fields)
 	}
 
-	/** The whole job while nothing of it has started, or else the task alone. */
+	/** Moves the whole job while nothing of it has started, or else hands over the task alone. */
 	function handOverFrom(placing: Placing, item: WaitingTask): boolean {
 		const move = deps.elsewhere?.onNoRoom(placing, item) ?? "goes by tasks"
 		return move === "goes by tasks" ? deps.handOver(item) : move === "moved"
@@ -190,13 +193,13 @@
 		host.speedKeeper?.close()
 		host.placer.relinquish()
 		const fields = {failureDomain, fence, cause, count: host.jobs.size}
-		log.alarm("placer", "placing_ended", "placer: no longer places a failure domain.", fields)
+		log.alarm("placer", "placing_ended", "placer: stopped placing a failure domain.", fields)
 		for (const job of host.jobs) job.abandon(cause)
 	}
 
-	/** A job that cannot start in time here is refused while another may still take it. */
+	/** Refuses a job that cannot start in time here, early enough for another placer to take it. */
 	function refusalOf(job: Job, queue: Queue, placer: Placer): JobEnd | undefined {
-		// Within a moment it has executors; what can start in time then is worth the wait.
+		// A placer that has just begun gets its executors within milliseconds; a short wait beats a refusal.
 		if (placer.isStartingUp()) return undefined
 		const startBy = latestStartOnTime(job, queue)
 		const waitMs = placer.expectedWaitMs(startBy)
@@ -229,7 +232,7 @@
 			const cause = givenUp.get(failureDomain)
 			givenUp.delete(failureDomain)
 			const host = hosts.get(failureDomain)
-			// Somebody else places there by now, though not by this handover.
+			// Another placer has the claim by now, though not by this handover.
 			if (host && cause !== undefined) endPlacing(failureDomain, host.claim.fence, cause)
 		},
 		handOverTo(successor, overflow) {
@@ -245,7 +248,7 @@
 			host.placer.handOverAll((item, from) => overflow.sendTo(successor, item, from))
 			const {name, session} = successor.placer
 			const fields = {failureDomain, fence, peer: name, session: shortSession(session), count}
-			log.alarm("placer", "handed_over", "placer: gave its domain to a successor.", fields)
+			log.alarm("placer", "handed_over", "placer: handed over a failure domain.", fields)
 		},
 		setExecutors(records) {
 			for (const [failureDomain, {placer}] of hosts)
--- a/packages/jobs/src/coordinate/job-mover.ts
+++ b/packages/jobs/src/coordinate/job-mover.ts
@@ -1,9 +1,9 @@
 /**
- * Sends whole jobs, of which nothing has started, from a placer without room to the domain that suits them better.
+ * Moves whole jobs that haven't started from a placer without room to the failure domain that suits them better. Used by
+ * hosted placers.
  *
- * The placer decides, since it alone hears the other placers. It does not pass the job on: it answers whoever handed it
- * in where to go, which at the same time says that nothing of it has started here. So the caller's confirmations go one way
- * only, to the placer that has the job, and the loss of this one does not touch it.
+ * The placer only answers where the job should go, which also says that nothing of it has started here. The coordinator
+ * then asks the other placer itself, so the caller's confirmations don't depend on this placer.
  */
 import type {Clock} from "@cottonwood/core"
 import type {FleetView} from "../fleet/members.js"
@@ -26,9 +26,9 @@
 import type {RoomEstimates} from "./room-estimates.js"
 import {latestStartOnTime, type JobRun} from "./job-run.js"
 
-/** The executors of a domain change seldom, and are summed at most so often. */
+/** Total capacity is summed again after this; executors seldom change. */
 const TOTAL_AGE_MS = 200
-/** Looks at the queue cost processor time; the ends of runs bring most of them sooner. */
+/** Queues are looked at again after this, unless the end of a run does it sooner. */
 const LOOK_AGAIN_MS = 15
 
 export interface JobMoverDeps {
@@ -38,25 +38,25 @@
 	readonly self: Member
 	readonly rooms: RoomEstimates
 	readonly isEvacuated: (failureDomain: string) => boolean
-	/** By how much sooner a job must be forecast to start elsewhere. */
+	/** A job moves only for a forecast start that is earlier by this much, in milliseconds. */
 	readonly crossDomainMs: number
 }
 
-/** A placer here, with the domain that it places. */
+/** A placer of this instance, with its claim. */
 export interface Placing {
 	readonly claim: Claim
 	readonly placer: Placer
 }
 
-/** What becomes of a job one of whose tasks finds no room here. */
+/** What happens to a job when one of its tasks finds no room here. */
 export type NoRoomOutcome = "moved" | "stays" | "goes by tasks"
 
 export interface JobMover {
-	/** Where a job goes that has just come, and may be refused here; undefined: nowhere else. */
+	/** The target of a job that has just arrived; undefined when it should stay. `isRefused`: it would be refused here. */
 	onArrival(placing: Placing, job: Job, queue: Queue, isRefused: boolean): JobMove | undefined
-	/** Watches a job while it runs here; the answer ends that, and says where the job was sent. */
+	/** Tracks a job while it runs here. The returned function ends that, and says where the job was moved. */
 	watch(job: Job, queue: Queue, run: JobRun): () => JobMove | undefined
-	/** A task finds no room here. */
+	/** Decides what happens to a job when one of its tasks finds no room here. */
 	onNoRoom(placing: Placing, item: WaitingTask): NoRoomOutcome
 }
 
@@ -69,11 +69,11 @@
 export function createJobMover(deps: JobMoverDeps): JobMover {
 	const {clock, view, peers, self, rooms, crossDomainMs} = deps
 	const watched = new Map<string, Watched>()
-	/** Failure domains whose queue is looked at again soon. */
+	/** Failure domains for which another look at the queue is scheduled. */
 	const looksDue = new Set<string>()
 	const totals = new Map<string, {readonly at: number; readonly cpu: number}>()
 
-	/** Where no run ends meanwhile nothing else would look at what stays. */
+	/** Schedules another look at the queue, since no run may end meanwhile. */
 	function stay({claim, placer}: Placing): NoRoomOutcome {
 		const {failureDomain} = claim
 		if (looksDue.has(failureDomain)) return "stays"
@@ -117,7 +117,7 @@
 		}
 	}
 
-	/** Of the domains that others place; one that told nothing of late has no news, and may need room itself. */
+	/** The state of the failure domains that others place. Those without a recent report count as without room. */
 	function allNews(): readonly DomainReport[] {
 		const others = view.claims().filter(({placer}) => placer.session !== self.session)
 		return others.map(claim => newsOf(claim) ?? untold(claim))
@@ -145,7 +145,7 @@
 			const {claim, placer} = placing
 			const need = needHere(job, queue)
 			const waitingWork = placer.work()
-			// Where nothing waits the first look at the executors decides.
+			// With an empty queue the attempt to place the job decides.
 			if (!need || (waitingWork === 0 && !isRefused) || placer.isStartingUp()) return undefined
 			const own: OwnDomain = {
 				failureDomain: claim.failureDomain,
--- a/packages/jobs/src/coordinate/lost-job-rescheduler.ts
+++ b/packages/jobs/src/coordinate/lost-job-rescheduler.ts
@@ -1,8 +1,8 @@
 /**
- * Places jobs anew whose placer fell silent, once every run of them is certainly over.
+ * Reschedules a job whose placer stopped responding, once every run of it has certainly ended. Used by the dispatcher.
  *
- * It has no word of anybody for it: the coordinator knows the last time as of which it told the placer that a job is wanted, and
- * by the lease rule no run outlives that by much. Its caller waits on its open connection meanwhile.
+ * The coordinator knows the last time as of which it confirmed the job to the placer, and by the lease rule no run outlives
+ * that for long. The caller waits on its open connection.
  */
 import type {Clock} from "@cottonwood/core"
 import {rescheduleAt} from "../decide/rescheduling.js"
@@ -13,15 +13,18 @@
 import type {JobMetrics} from "../utils/metrics.js"
 import {criticalPathMs, answerUsefulMs} from "./job-run.js"
 
-/** What may have run at a placer that fell silent, and what came of the job as far as is known. */
+/** A job whose placer stopped responding; it may have run there. */
 export interface LostAtPlacer {
 	readonly type: "lost"
 	readonly cause: string
-	/** The placer was told of no later time as of which the job was wanted, in steady milliseconds. */
+	/**
+	 * The last time as of which the placer was told that the job is wanted, in milliseconds on the monotonic clock.
+	 * Infinity: unknown.
+	 */
 	readonly lastConfirmedAt: number
 }
 
-/** A job as its caller handed it in. */
+/** A job with its queue and caller, as submitted. */
 export interface SubmittedJob {
 	readonly job: Job
 	readonly queue: Queue
@@ -37,19 +40,19 @@
 
 export type TryPlacers = (job: Job, queue: Queue, caller: Caller) => Promise<JobEnd | LostAtPlacer>
 
-/** Brings a job to its end whose placer fell silent. */
+/** Resolves with the end of a job whose placer stopped responding. */
 export type RescheduleLostJob = (
 	handedIn: SubmittedJob,
 	lost: LostAtPlacer,
 	tryPlacers: TryPlacers,
 ) => Promise<JobEnd>
 
-/** Whether it ran is not known, so its caller may hand it in again. */
+/** The end of a job of which it isn't known whether it ran; its caller may submit it again. */
 export function outcomeUnknown({cause}: LostAtPlacer): JobEnd {
 	return {type: "given up", kind: "placer_lost", cause}
 }
 
-/** Whoever refuses a job after another placer had it can only say that it did not start it itself. */
+/** A refusal after a loss only speaks for the last placer, so the outcome stays unknown. */
 function endAfterLoss(lost: LostAtPlacer, end: JobEnd): JobEnd {
 	if (end.type !== "refused") return end
 	return outcomeUnknown({...lost, cause: `${lost.cause}; then ${end.cause}`})
@@ -70,7 +73,7 @@
 		return rescheduleAt(leaseRule, {lastConfirmedAt: wantedAt, chainMs, usefulUntil}, clock.now())
 	}
 
-	/** Resolves at that time, with whether the caller still waits, or at once when it leaves. */
+	/** Resolves with true at that time, or with false as soon as the caller leaves. */
 	function stillWantedAt({onCancel}: Caller, at: number): Promise<boolean> {
 		return new Promise(resolve => {
 			const stop = clock.schedule(at - clock.now(), () => resolve(true))
@@ -90,7 +93,7 @@
 		metrics.count("jobs_lost", outcome)
 		const inputAgeMs = Number.isFinite(wantedAt) ? Math.round(clock.now() - wantedAt) : undefined
 		const fields = {job: id, outcome, cause, inputAgeMs, waitedMs: Math.round(waitedMs)}
-		log.alarm("job", "lost_at_placer", "job: its placer fell silent.", fields)
+		log.alarm("job", "lost_at_placer", "job: the placer stopped responding.", fields)
 	}
 
 	return async function placeAnew(handedIn, lost, tryPlacers): Promise<JobEnd> {
@@ -107,7 +110,7 @@
 		}
 		const now = clock.now()
 		note(job, lost, "placed anew", now - lostAt)
-		// Judged as its caller's own return would be, and never beyond the caller's deadline.
+		// Counts as a new arrival, as if the caller had submitted it again, but within the original deadline.
 		const end = await tryPlacers({...job, receivedAt: now}, queue, caller)
 		return end.type === "lost" ? placeAnew(handedIn, end, tryPlacers) : endAfterLoss(lost, end)
 	}
--- a/packages/jobs/src/coordinate/moved-job.ts
+++ b/packages/jobs/src/coordinate/moved-job.ts
@@ -1,6 +1,8 @@
 /**
- * Follows a job that placers send elsewhere, at the instance that its caller reached: where it goes next, and where it
- * has been. Only a placer's word that nothing of it has started moves it; after silence it goes nowhere.
+ * Tracks a job that placers move to other failure domains: the next placer to ask, and the domains tried. Used by the
+ * dispatcher.
+ *
+ * A job moves only on a placer's answer that nothing of it has started, never after silence.
  */
 import type {Clock} from "@cottonwood/core"
 import {MAX_MOVES} from "../decide/domain-choice.js"
@@ -18,13 +20,13 @@
 }
 
 export interface MovedJob {
-	/** The job as the next placer is to have it. */
+	/** The job with the failure domains tried so far. */
 	withDomainsTried(): Job
-	/** The placer that the job was sent to; undefined: whoever suits it. */
+	/** The placer that the job should go to; undefined when any will do. Cleared by the call. */
 	next(): Claim | undefined
-	/** Takes a placer's word that the job should go elsewhere; false when it says nothing that can be followed. */
+	/** Accepts a placer's answer that the job should move. False when the answer is invalid. */
 	accept(from: Claim, move: JobMove): boolean
-	/** What the placer that was asked last answered. */
+	/** Records how the placer asked last answered, and sends the job back when it never got there. */
 	noteOutcome(claim: Claim, outcome: string): void
 }
 
@@ -35,12 +37,12 @@
 
 const isFigure = (value: unknown) => typeof value === "number" && value >= 0
 
-/** A peer's word may be broken, or older than what is known here. */
+/** Checks an answer from another instance, which may be malformed. */
 function isMove({claim, hereMs, thereMs, newsAgeMs}: JobMove): boolean {
 	return isClaim(claim) && [hereMs, thereMs, newsAgeMs].every(isFigure)
 }
 
-/** Where a job has been by a peer's word; undefined, so that it stays, when that cannot be read. */
+/** The failure domains tried according to a peer. Undefined, so that the job stays, when that is malformed. */
 export function beenOf(value: unknown, {metrics}: Pick<MovedJobDeps, "metrics">) {
 	if (value === undefined) return undefined
 	if (Array.isArray(value) && value.every(name => typeof name === "string"))
@@ -50,12 +52,12 @@
 }
 
 export function followMoves({clock, log, metrics}: MovedJobDeps, job: Job): MovedJob {
-	/** Failure domains whose placers had it, or could not be reached. */
+	/** Failure domains whose placers had the job or could not be reached. */
 	const been: string[] = []
 	let move: Move | undefined
 	let goesTo: Claim | undefined
 
-	/** It never got there: whoever sent it has it again, and sends it there no more. */
+	/** Sends the job back to the placer that moved it, and excludes the unreached target. */
 	function goBack({from, claim}: Move) {
 		been.splice(been.indexOf(from.failureDomain), 1, claim.failureDomain)
 		goesTo = from
@@ -84,7 +86,7 @@
 			if (move?.claim.failureDomain !== claim.failureDomain) return
 			const {from, hereMs, thereMs, newsAgeMs, at} = move
 			metrics.count("whole_jobs_moved", outcome)
-			log.event("job", "whole_job_moved", "job: another domain's placer had it as a whole.", {
+			log.event("job", "whole_job_moved", "job: moved to another failure domain's placer.", {
 				job: job.id,
 				peer: claim.placer.name,
 				session: shortSession(claim.placer.session),
--- a/packages/jobs/src/coordinate/overflow.ts
+++ b/packages/jobs/src/coordinate/overflow.ts
@@ -1,7 +1,6 @@
 /**
- * Hands tasks that find no room here to placers that told of room.
- *
- * The told room is counted down by what was handed over since; the next telling replaces the count.
+ * Hands tasks that find no room here to other placers with reported room, and passes on how they ended. Used by hosted
+ * placers, handovers and slices.
  */
 import type {Clock} from "@cottonwood/core"
 import type {FleetView} from "../fleet/members.js"
@@ -22,7 +21,7 @@
 	type RoomEstimates,
 } from "./room-estimates.js"
 
-/** An answer is waited for beyond the task's deadline, since its stop takes a moment. */
+/** An answer is awaited this long beyond the task's deadline, since stopping a task takes time. */
 const ANSWER_SLACK_MS = 300
 
 export interface OverflowDeps {
@@ -33,14 +32,14 @@
 	readonly self: Member
 	readonly log: EventLog
 	readonly metrics: JobMetrics
-	/** Shared with whoever else sends work to other domains. */
+	/** Room estimates, shared with the job mover; own ones by default. */
 	readonly rooms?: RoomEstimates
 }
 
 export interface Overflow {
-	/** Hands the task to a placer with room; false when there is none. */
+	/** Hands the task to a placer with room. False when there is none. */
 	handOver(item: WaitingTask): boolean
-	/** Hands it to a certain placer, with the executor that has it if it runs already. */
+	/** Hands the task to the given placer, with the executor that runs it already, if any. */
 	sendTo(claim: Claim, item: WaitingTask, from?: RunLocation): void
 }
 
@@ -60,7 +59,7 @@
 	const isHome = ({failureDomain: name}: Claim) =>
 		failureDomainOf(name) === self.failureDomain && view.sliceCount(name) > 1
 
-	/** The own domain's other slices before other domains, and of these the one with the freest executor. */
+	/** Prefers the own domain's other slices to other domains, then the freest executor. */
 	function isBetter(one: Target, best: Target): boolean {
 		if (isHome(one.claim) !== isHome(best.claim)) return isHome(one.claim)
 		return (one.room.freeCpu[0] ?? 0) > (best.room.freeCpu[0] ?? 0)
@@ -96,7 +95,7 @@
 		}
 		const {address} = claim.placer
 		const call = peers.runTask(address, message, leftMs + ANSWER_SLACK_MS, confirmedAt)
-		// What is being stopped already must reach the successor, or it would take the run for one that is wanted.
+		// A run that is being stopped must be handed over too, or the successor would take it for a wanted one.
 		if (!runsAt?.stopCause) item.onStart(() => call.cancel())
 		const reply = await call.reply
 		const outcome = reply?.type ?? (call.wasUnsent() ? "unsent" : "silent")
@@ -104,7 +103,7 @@
 		const fields = {job: req.job, task: req.task, run: req.run, peer: claim.placer.name}
 		const isTold = reply !== undefined && reply.type !== "lost"
 		const write = isTold ? log.event : log.alarm
-		write("placer", "task_handed_over", "placer: another placer had a task.", {
+		write("placer", "task_handed_over", "placer: handed a task to another placer.", {
 			...fields,
 			session: shortSession(claim.placer.session),
 			failureDomain: claim.failureDomain,
@@ -114,7 +113,7 @@
 			proof: reply && reply.type !== "not placer" ? "told by another placer" : undefined,
 			tookMs: Math.round(clock.now() - now),
 		})
-		// Its room is of no use until it is told again.
+		// The placer can't be reached: its room counts as none until the next report.
 		if (call.wasUnsent()) rooms.close(claim.failureDomain)
 		if (call.wasUnsent() && !runsAt) item.onEnd({type: "returned", cause: "no connection"})
 		else item.onEnd(await endOf(reply, claim, item, runsAt !== undefined))
@@ -127,9 +126,9 @@
 		wasRunning: boolean,
 	): Promise<TaskEnd> {
 		if (reply && reply.type !== "not placer") return reply
-		// What was running when it was given away may run on until its lease ends.
+		// A handed-over run may go on until its lease ends.
 		if (reply && !wasRunning) return {type: "returned", cause: "not placer"}
-		// Whoever has it was told nothing later than this; its lease ends by that, whatever is known there.
+		// No later confirmation was sent, so the lease ends by this time whatever the other side knows.
 		const toldAt = Math.min(clock.now(), req.confirmedAt())
 		await clock.sleep(Math.max(0, certainEndAt(leaseRule, toldAt) - clock.now()))
 		const cause = reply?.type ?? "its placer is silent"
--- a/packages/jobs/src/coordinate/refusals.ts
+++ b/packages/jobs/src/coordinate/refusals.ts
@@ -1,6 +1,4 @@
-/**
- * What is told, counted and written of a job that its placer refuses.
- */
+/** Builds, counts and logs the refusal of a job by admission. */
 import {retryAfterMsOf, type RefusalReason} from "../decide/admission.js"
 import type {Forecast} from "../decide/forecast.js"
 import type {Share} from "../decide/shares.js"
@@ -8,7 +6,7 @@
 import type {EventLog} from "../utils/log.js"
 import type {JobMetrics} from "../utils/metrics.js"
 
-/** Within this a queue has what it is due. */
+/** Up to this difference from its share a queue counts as even. */
 const EVEN_LEAD = 0.02
 
 export type Refusal = Extract<JobEnd, {type: "refused"}>
@@ -17,9 +15,9 @@
 	readonly reason: RefusalReason
 	readonly share: Share
 	readonly told: Forecast
-	/** When the room is forecast to suffice, in milliseconds from now. */
+	/** Forecast time until there is enough room, in milliseconds. */
 	readonly roomInMs: number
-	/** For how long the job has waited for the decision, in milliseconds. */
+	/** Time from the job's arrival to the decision, in milliseconds. */
 	readonly waitedMs: number
 }
 
@@ -36,7 +34,7 @@
 const knownMs = (ms: number) => (Number.isFinite(ms) ? Math.round(ms) : undefined)
 const hundredths = (ratio: number) => Math.round(ratio * 100) / 100
 
-/** The answer to a job's caller; written with what it was decided by. */
+/** Counts and logs a refusal, and returns the answer for the caller. */
 export function createRefusal(
 	{id, queue}: Job,
 	facts: RefusalDetails,
--- a/packages/jobs/src/coordinate/room-estimates.ts
+++ b/packages/jobs/src/coordinate/room-estimates.ts
@@ -1,37 +1,38 @@
 /**
- * The room that other domains told, counted down by what was sent there since; the next telling replaces the count.
+ * Estimates of the free room of other failure domains: the last report less what was sent there since. Shared by everything
+ * that sends work to other domains.
  */
 import type {Clock} from "@cottonwood/core"
 import type {FleetView, ReportedRoom} from "../fleet/members.js"
 
-/** Told room that is older says nothing any more: two beats. */
+/** Reports older than this are ignored: two heartbeats. */
 const ROOM_AGE_MS = 500
-/** What was sent so shortly before room was told may not have been counted there. */
+/** Work sent this shortly before a report may be missing from it. */
 const IN_FLIGHT_MS = 5
 const MILLICORES = 1_000
 
 export interface RoomEstimate {
 	readonly told: ReportedRoom
-	/** Thousandths of a core, largest first. */
+	/** Thousandths of a core by executor, largest first. */
 	readonly freeCpu: number[]
-	/** Thousandths of a core, and core-milliseconds, that were sent there since. */
+	/** Thousandths of a core, and core-milliseconds, that were sent there since the report. */
 	sentCpu: number
 	sentWork: number
 }
 
-/** Tasks that are sent to another domain. */
+/** Tasks sent to another failure domain. */
 export interface SentTasks {
 	readonly tasks: number
 	readonly cpu: number
-	/** Core-milliseconds of all of them. */
+	/** Core-milliseconds of all tasks. */
 	readonly work: number
 }
 
 export interface RoomEstimates {
-	/** Undefined where nothing was told of late. */
+	/** Undefined without a recent report. */
 	of(failureDomain: string): RoomEstimate | undefined
 	deduct(failureDomain: string, sent: SentTasks): void
-	/** Its room is of no use until it is told again. */
+	/** Counts the room as none until the next report. */
 	close(failureDomain: string): void
 }
 
@@ -52,7 +53,7 @@
 	room.sentWork += work
 }
 
-/** `countsInFlight`: what was sent just before a telling is taken off it too. */
+/** `countsInFlight`: work sent just before a report is deducted from it too. */
 export function createRoomEstimates(
 	clock: Clock,
 	view: Pick<FleetView, "roomOf">,
--- a/packages/jobs/src/coordinate/shared-caller.ts
+++ b/packages/jobs/src/coordinate/shared-caller.ts
@@ -1,13 +1,13 @@
 /**
- * The caller of a job whose id comes again while the job is under way.
+ * The caller of a job that is submitted again with the same id while it is in progress. Used by the entry instance.
  *
- * A caller comes again only once its connection before is over, whether or not that has been heard here. So the last one that came
- * is the one that counts: it is over when that hangs up, and it is wanted as of when that was heard.
+ * A caller submits again only after its previous connection has ended, whether or not that has been noticed here. So the
+ * latest caller decides when the job is cancelled and as of when it is wanted.
  */
 import type {Caller} from "../types/job.js"
 
 export interface SharedCaller extends Caller {
-	/** Takes the place of whoever came before. */
+	/** Replaces the previous caller. */
 	readonly join: (caller: Caller) => void
 }
 
--- a/packages/jobs/src/coordinate/slice-moves.ts
+++ b/packages/jobs/src/coordinate/slice-moves.ts
@@ -1,5 +1,6 @@
 /**
- * What the placers of one instance do when executors go to another slice: they give them up, with what runs there.
+ * Makes the placers of this instance give up executors that have moved to another slice, with their runs. Used by hosted
+ * placers.
  */
 import type {Clock} from "@cottonwood/core"
 import {failureDomainOf, sliceIndexOf} from "../decide/slices.js"
@@ -9,24 +10,24 @@
 import type {HostedPlacer} from "./hosted-placers.js"
 import type {HostSlices} from "./slices.js"
 
-/** The claim of a new slice is known everywhere within three beats, or nobody hears of it. */
+/** A new slice's claim is known everywhere within three heartbeats. */
 const SLICE_NEWS_MS = 650
 
 export interface SliceMovesDeps {
 	readonly clock: Clock
 	readonly log: EventLog
 	readonly hosts: ReadonlyMap<string, HostedPlacer>
-	/** Undefined: no failure domain is divided. */
+	/** Undefined: no failure domain is sliced. */
 	readonly slices: HostSlices | undefined
 	readonly endPlacing: (failureDomain: string, fence: number, cause: string) => void
 }
 
 export interface SliceMoves {
-	/** Those of the executors that a hosted slice's placer may use. */
+	/** The executors that the placer of a slice may use. */
 	ownOf(name: string, records: readonly ExecutorRecord[]): readonly ExecutorRecord[]
-	/** An executor obeys a higher fence than the claim's. */
+	/** Handles an executor that obeys a higher fence than the claim's. */
 	noteFenced(claim: Claim, executor: ExecutorRecord): void
-	/** A claim is in force, which may be a new slice's. */
+	/** Handles a claim that may be that of a new slice. */
 	noteClaim(claim: Claim): void
 }
 
@@ -37,7 +38,7 @@
 	slices,
 	endPlacing,
 }: SliceMovesDeps): SliceMoves {
-	/** Hands executors that have another placer by now to that one, with what runs there. */
+	/** Hands executors over to their new placer, with the runs there. */
 	function giveExecutors(name: string, isGiven: (record: ExecutorRecord) => boolean) {
 		const host = hosts.get(name)
 		if (!host) return
@@ -46,7 +47,7 @@
 		)
 		if (count === 0) return
 		const fields = {failureDomain: name, fence: host.claim.fence, count}
-		log.alarm("placer", "executors_given", "placer: gave executors to another slice.", fields)
+		log.alarm("placer", "executors_given", "placer: handed executors to another slice.", fields)
 	}
 
 	function isOwn(name: string, record: ExecutorRecord): boolean {
@@ -62,12 +63,12 @@
 		},
 		noteFenced({failureDomain, fence}, {id}) {
 			const host = hosts.get(failureDomain)
-			// Where nothing is divided somebody else places the whole domain.
+			// In an unsliced failure domain a higher fence is that of a new placer of the whole domain.
 			if (host?.claim.fence !== fence || !slices?.mayBeDivided(failureDomain))
 				return endPlacing(failureDomain, fence, "a higher fence was seen")
 			host.fenced.add(id)
 			clock.schedule(SLICE_NEWS_MS, () => {
-				// By then the slice may have been handed over, with all that runs there.
+				// The slice may have been handed over meanwhile, with all its runs.
 				if (hosts.get(failureDomain) !== host) return
 				giveExecutors(failureDomain, record => record.id === id)
 			})
--- a/packages/jobs/src/coordinate/slices.ts
+++ b/packages/jobs/src/coordinate/slices.ts
@@ -1,9 +1,8 @@
 /**
- * What a placer of a slice has to know of the others: which executors are its own, and who has those that it had before.
+ * Decides which executors a slice's placer may use, and hands runs on other executors to the placer that has them now.
  *
- * A placer is told of a new slice by its claim. From then on it has none of the executors that went there, and hands over what
- * runs on them, as on a planned stop. An executor that refuses its fence before it has heard of any claim goes on running what
- * it runs, under the leases that were asked for; so the placer leaves it alone, and waits for the news.
+ * A placer learns of a new slice by its claim. An executor that refuses its fence before that keeps running its tasks under
+ * the leases requested so far, so the placer leaves it alone until the claim is known.
  */
 import type {Clock} from "@cottonwood/core"
 import {certainEndAt, type LeaseRule} from "../decide/lease-rule.js"
@@ -25,24 +24,24 @@
 }
 
 export interface HostSlices {
-	/** Those of the executors that the slice's placer has. */
+	/** The executors that belong to the slice. */
 	ownOf(name: string, records: readonly ExecutorRecord[]): readonly ExecutorRecord[]
-	/** Whether another slice's placer may be the one whose fence an executor has seen. */
+	/** Whether the higher fence that an executor has seen may be that of another slice. */
 	mayBeDivided(name: string): boolean
-	/** Hands a run that a slice's placer had over to the placer that has its executor now. */
+	/** Hands a run over to the placer that has its executor now. */
 	sendOn(name: string, item: WaitingTask, from: RunLocation): void
 }
 
 export function createHostSlices(deps: HostSlicesDeps): HostSlices {
 	const {clock, leaseRule, view, overflow} = deps
 
-	/** The claim of the slice that an executor is in. */
+	/** The claim of the slice that an executor belongs to. */
 	function claimFor(name: string, record: ExecutorRecord): Claim | undefined {
 		const index = sliceOf(record, view.sliceCount(name))
 		return view.claimOf(sliceName(failureDomainOf(name), index))
 	}
 
-	/** Nobody renews its lease any more: its new placer does not know it, or stops what it does not want. */
+	/** Reports the run as lost once its lease has ended; no placer renews it any more. */
 	function tellWhenOver({req, onEnd}: WaitingTask, executor: string) {
 		const now = clock.now()
 		const endAt = certainEndAt(leaseRule, Math.min(now, req.confirmedAt()))
@@ -56,7 +55,7 @@
 		sendOn(name, item, from) {
 			const claim = from.record && claimFor(name, from.record)
 			const isElsewhere = claim !== undefined && claim.failureDomain !== name
-			// A kept job is not handed over with its run: its home stays where it is, and runs it again.
+			// A kept job isn't handed over with its run: its owner stays the same and runs it again.
 			if (isElsewhere && !item.req.isKept) overflow.sendTo(claim, item, from)
 			else tellWhenOver(item, from.executor)
 		},
--- a/packages/jobs/src/coordinate/slicing.ts
+++ b/packages/jobs/src/coordinate/slicing.ts
@@ -1,6 +1,5 @@
 /**
- * What divides failure domains at an instance, joined: which executors a slice's placer has, and the look at whether there
- * should be more slices.
+ * All that an instance needs for sliced failure domains: the executors of its slices, and the check for a further slice.
  */
 import {failureDomainOf} from "../decide/slices.js"
 import type {ExecutorRecord} from "../types/executor.js"
--- a/packages/jobs/src/coordinate/task-request.ts
+++ b/packages/jobs/src/coordinate/task-request.ts
@@ -1,12 +1,10 @@
-/**
- * What is asked of a placer for a task's next run, alike for jobs of callers and kept ones.
- */
+/** Builds the request for a task's next run, for callers' jobs and for kept jobs. */
 import {isolationOf, type CrashCount} from "../decide/crashes.js"
 import type {TaskRequest} from "../place/run.js"
 import type {Queue} from "../types/fleet-config.js"
 import type {Step} from "../types/job.js"
 
-/** What a task's runs so far have told. */
+/** What is known from a task's runs so far. */
 interface TaskSoFar {
 	readonly name: string
 	readonly run: number
@@ -19,7 +17,7 @@
 	"startBy" | "uselessAt" | "deadlineAt" | "confirmedAt" | "isBegun"
 >
 
-/** All of a request but its times, and how far its job is. */
+/** A task request without its times and whether its job has started. */
 export function taskRequestBase(
 	{id, spec}: {readonly id: string; readonly spec: string},
 	{name, run, crashes, avoid}: TaskSoFar,
--- a/packages/jobs/src/coordinate/unstarted-jobs.ts
+++ b/packages/jobs/src/coordinate/unstarted-jobs.ts
@@ -1,6 +1,6 @@
 /**
- * The jobs at a placer of which nothing has started: those that can be in time by their latest useful start, then those
- * that were taken as late.
+ * The jobs at a placer that haven't started: those that can be on time by their latest useful start, then those admitted
+ * late. Used by admission.
  */
 import type {Forecast} from "../decide/forecast.js"
 import type {Job} from "../types/job.js"
@@ -11,7 +11,7 @@
 	readonly job: Job
 	readonly queue: Queue
 	readonly run: JobRun
-	/** Steady milliseconds: a start after this is of no use, for late ones to be of any use at all. */
+	/** Milliseconds on the monotonic clock. A later start can't be on time, or for a late job can't be of any use. */
 	readonly startBy: number
 	readonly isLate: boolean
 	readonly takenAt: number
@@ -22,12 +22,12 @@
 
 export interface UnstartedJobs {
 	add(item: UnstartedJob): void
-	/** Whether it was there. */
+	/** Returns whether the job was listed. */
 	remove(item: UnstartedJob): boolean
-	/** The last of the order. */
+	/** The jobs at the end of the order. */
 	last(count: number): readonly UnstartedJob[]
 	size(): number
-	/** Core-milliseconds of those that were taken as late. */
+	/** Core-milliseconds of the jobs admitted late. */
 	lateWork(): number
 }
 
--- a/packages/jobs/src/coordinate/whole-job-moves.ts
+++ b/packages/jobs/src/coordinate/whole-job-moves.ts
@@ -1,6 +1,4 @@
-/**
- * The parts that send whole jobs to other domains, joined: what an instance needs of them as placer and as coordinator.
- */
+/** All that an instance needs to move whole jobs to other failure domains, as placer and as coordinator. */
 import type {Job} from "../types/job.js"
 import type {PlacingSettings} from "../types/placing.js"
 import {createRoomEstimates, type RoomEstimates} from "./room-estimates.js"
@@ -11,7 +9,7 @@
 
 export interface WholeJobMoves {
 	readonly rooms: RoomEstimates
-	/** Absent, as is `followMoves`, where jobs stay in their domain. */
+	/** Absent, as is `followMoves`, when jobs stay in their failure domain. */
 	readonly elsewhere?: JobMover
 	readonly followMoves?: (job: Job) => MovedJob
 }
