--- a/packages/jobs/test/admission-hosts.test.ts
+++ b/packages/jobs/test/admission-hosts.test.ts
@@ -1,7 +1,4 @@
-/**
- * Admission by forecast at the placers that an instance hosts: which judgement is used, and what becomes of it when another
- * instance takes the domain over.
- */
+/** Admission by forecast at hosted placers: which judgement is used, and what a takeover does to it. */
 import {createJobMetrics, silentLog, type Claim, type Job, type JobEnd} from "@cottonwood/jobs"
 import {
 	createHostedPlacers,
@@ -46,7 +43,7 @@
 		forecasting: isForecasting ? {borrowableCores: () => 0, queues: () => [QUEUE]} : undefined,
 	})
 	let serial = 0
-	/** A job that fills the executor. */
+	/** Runs a job that fills the executor. */
 	function run(estimateMs: number): Promise<JobEnd | JobMove> {
 		const need = {cpu: 64_000, memoryMb: 1, accelerators: 0}
 		const job: Job = {
@@ -66,7 +63,7 @@
 }
 
 describe("admission at hosted placers", () => {
-	it("tells when to come back only where jobs are judged by forecasts", async () => {
+	it("gives a retry time only when jobs are judged by forecasts", async () => {
 		for (const isForecasting of [true, false]) {
 			const {clock, hosts, run} = createWorld(isForecasting)
 			hosts.noteClaim(claimOf(1))
@@ -81,10 +78,10 @@
 	})
 
 	/*
-	 * Another instance has the claim. What waits here certainly never started and is told so; the sums go with the placer,
-	 * and when the domain comes back it is judged as by a new one.
+	 * Another instance gets the claim: queued jobs must end as not run, and a placer that gets the domain back must not
+	 * reuse old sums.
 	 */
-	it("ends with its placer, and begins anew with the next", async () => {
+	it("ends with its placer and starts afresh with the next one", async () => {
 		const {clock, hosts, run} = createWorld(true)
 		hosts.noteClaim(claimOf(1))
 		await clock.advance(50)
--- a/packages/jobs/test/after-a-loss.test.ts
+++ b/packages/jobs/test/after-a-loss.test.ts
@@ -1,6 +1,4 @@
-/**
- * The first moments after all instances were lost and are back: the store still lists the claims of the lives before.
- */
+/** The first moments after a restart of all instances: the store still lists the claims of earlier sessions. */
 import {silentLog, type Job, type Member} from "@cottonwood/jobs"
 import {
 	createDispatcher,
@@ -72,13 +70,9 @@
 	return {clock, view, asked, hosted, dispatch}
 }
 
-describe("a job that comes while the store lists the claims of the lives before", () => {
-	/*
-	 * All instances are back and have read the claims, which name placers that are gone. Nothing was ever heard of their
-	 * sessions, so they were asked: their addresses answered that they place nothing, or nobody listened yet, and the job was
-	 * refused as if no placer could be reached, some 100 ms before its own domain's began.
-	 */
-	it("waits for the placer that begins, and asks nobody that is gone", async () => {
+describe("a job that arrives while the store lists the claims of earlier sessions", () => {
+	/* Guards against a refusal during a restart: the listed placers are gone, and the new one is about to begin. */
+	it("waits for the placer that begins and asks no placer that is gone", async () => {
 		const self = member("a-1", 2)
 		const {clock, view, asked, hosted, dispatch} = createWorld(self, () => ({type: "not placer"}))
 		view.noteClaim({failureDomain: "a", fence: 1, placer: member("a-1", 1)})
@@ -94,8 +88,8 @@
 		expect(ended.type).to.equal("completed")
 	})
 
-	/* The instance has not registered yet, so that its life before cannot be told from one that goes on: asked, it says so. */
-	it("waits also when those who were asked place nothing yet, and asks them again", async () => {
+	/* Its instance hasn't registered yet, so its earlier session can't be told from a current one without asking. */
+	it("waits and asks again when the instances asked don't place yet", async () => {
 		let isPlacing = false
 		const {clock, view, asked, dispatch} = createWorld(member("a-2", 2), () =>
 			isPlacing ? {type: "completed"} : {type: "not placer"},
@@ -104,7 +98,7 @@
 		const ended = dispatch(500)
 		await clock.advance(120)
 		expect(ended.type).to.equal(undefined)
-		// Not at each look: at that moment everybody has more to do than it can.
+		// Asked rarely, since the instances are busy starting.
 		expect(asked.length).to.be.within(2, 4)
 		isPlacing = true
 		view.noteClaim({failureDomain: "a", fence: 2, placer: member("a-1", 2)})
@@ -112,7 +106,7 @@
 		expect(ended.type).to.equal("completed")
 	})
 
-	it("waits when nobody listens there yet", async () => {
+	it("waits when the placer's address doesn't accept connections yet", async () => {
 		let isThere = false
 		const {clock, view, dispatch} = createWorld(member("a-2", 2), () =>
 			isThere ? {type: "completed"} : undefined,
@@ -127,17 +121,17 @@
 		expect(ended.type).to.equal("completed")
 	})
 
-	it("is refused as soon as it cannot be in time any more", async () => {
+	it("is refused as soon as it can't be on time any more", async () => {
 		const {clock, view, dispatch} = createWorld(member("a-2", 2), () => ({type: "not placer"}))
 		view.noteClaim({failureDomain: "a", fence: 1, placer: member("a-1", 1)})
 		const ended = dispatch(50)
 		await clock.advance(400)
 		expect(ended.type).to.equal("refused")
-		// Its objective is 140 ms and its work 50; it came at 1,000.
+		// Its objective is 140 ms and its work 50 ms; it arrived at 1,000 ms.
 		expect(ended.at).to.be.within(1_090, 1_150)
 	})
 
-	it("is refused at once when a placer had no room, or nothing has begun of late", async () => {
+	it("is refused at once when a placer had no room, or no placer is about to begin", async () => {
 		const full = {type: "refused", kind: "overloaded", cause: ""} as const
 		const {clock, view, dispatch} = createWorld(member("a-2", 2), () => full)
 		view.noteClaim({failureDomain: "a", fence: 1, placer: member("a-1", 1)})
@@ -154,11 +148,8 @@
 })
 
 describe("the claims in an instance's name", () => {
-	/*
-	 * After a loss of all the executors were listed only once the new claim stood in the store, one after the other: reading the
-	 * claim, writing the next one, the list, the first holds. The list does not hang on the write.
-	 */
-	it("ask for the list of executors from the life before on, once", () => {
+	/* Guards against a slow restart: the list of executors doesn't have to wait for the new claim's write. */
+	it("ask once for the list of executors, from an earlier session's claim on", () => {
 		const self = member("a-1", 2)
 		const claims = createOwnClaims(self)
 		expect(claims.take({failureDomain: "b", fence: 1, placer: member("b-1", 1, "b")})).to.equal(
@@ -170,7 +161,7 @@
 		expect(claims.take({failureDomain: "a", fence: 2, placer: self})).to.equal(false)
 	})
 
-	it("ask for nothing once somebody else has the domain", () => {
+	it("ask for nothing once another instance has the domain", () => {
 		const claims = createOwnClaims(member("a-1", 2))
 		claims.take({failureDomain: "a", fence: 1, placer: member("a-1", 1)})
 		expect(claims.take({failureDomain: "a", fence: 2, placer: member("a-2", 1)})).to.equal(false)
@@ -180,10 +171,7 @@
 })
 
 describe("a placer that begins", () => {
-	/*
-	 * Of the executors of a domain one answers first. From then on the wait of a job was counted as if that one had to do all, so
-	 * most of what had come together was refused while the others' answers were on their way.
-	 */
+	/* Guards against refusing jobs while the first answers of most executors are still on their way. */
 	it("counts the executors whose first answers are on their way", async () => {
 		const clock = createFakeClock()
 		const orders = new FakeFleet(clock)
@@ -205,7 +193,7 @@
 			)
 		await clock.advance(5)
 		const early = placer.expectedWaitMs(Infinity)
-		// Two run where there was an answer; the work of the other eight goes to all four.
+		// Two run on the executor that answered; the other eight count on all four.
 		expect(early).to.be.closeTo((8 * 27 * 100) / (4 * 64 * 0.8), 1)
 		await clock.advance(100)
 		expect(placer.counts().running).to.equal(8)
--- a/packages/jobs/test/caller-deadline.test.ts
+++ b/packages/jobs/test/caller-deadline.test.ts
@@ -1,8 +1,7 @@
 /**
- * A caller that stays on the line is back 1,300 ms after its deadline, whatever it has heard. The instance that it had called
- * went on confirming the job to the placer for 400 ms beyond the deadline, until it gave up waiting for the answer; and a call that
- * had lain unread for 199 ms counted as fresh, so its deadline was that much late everywhere. A lease ends
- * 1,250 ms after the last confirmation: up to 350 ms, and 149 ms, after the caller may be back.
+ * Confirmations of a job end at its caller's deadline, counted from when the call may have arrived. A lease lasts 1,250 ms
+ * beyond the last confirmation, and the caller may submit again 1,300 ms after its deadline: a later confirmation could let
+ * the job run twice.
  */
 import {silentLog, type Claim, type Job} from "@cottonwood/jobs"
 import {createDispatcher, createFleetView, type JobMessage} from "@cottonwood/jobs/internals"
@@ -75,7 +74,7 @@
 		expect(sent[0]?.confirmedAt()).to.be.at.most(job.deadlineAt)
 	})
 
-	it("counts from when the call may have come, however short the time is that it may have lain unread", async () => {
+	it("counts from when the call may have arrived, even after a short time unread", async () => {
 		const {clock, sent} = createWorld(199)
 		await clock.advance(1)
 		expect(sent[0]?.message.leftMs).to.be.at.most(DEADLINE_MS - 199)
--- a/packages/jobs/test/counted-rooms.test.ts
+++ b/packages/jobs/test/counted-rooms.test.ts
@@ -1,6 +1,4 @@
-/**
- * Told room, counted down by what was sent there since.
- */
+/** Estimates of other domains' free room: the last report less what was sent since. */
 import type {Claim, Member} from "@cottonwood/jobs"
 import {createRoomEstimates, createFleetView} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -27,8 +25,8 @@
 	return {clock, rooms, tell, send}
 }
 
-describe("counted room", () => {
-	it("is what was told less what was sent since, and none once that is old", async () => {
+describe("room estimates", () => {
+	it("are the report less what was sent since, and none once the report is old", async () => {
 		const {clock, rooms, tell, send} = createWorld(true)
 		expect(rooms.of("b")).to.equal(undefined)
 		tell()
@@ -38,8 +36,8 @@
 		expect(rooms.of("b")).to.equal(undefined)
 	})
 
-	/* What was on its way when the room was told is not in it: two tellings in a row would give the same room away twice. */
-	it("goes on counting what was sent just before it was told again", async () => {
+	/* Guards against using the same room twice: a report may not include work that was still on its way. */
+	it("still deduct what was sent just before a new report", async () => {
 		const {clock, rooms, tell, send} = createWorld(true)
 		tell()
 		send()
@@ -51,7 +49,7 @@
 		expect(rooms.of("b")?.freeCpu).to.eql([16_000, 8_000])
 	})
 
-	it("begins anew with each telling where only tasks are sent", async () => {
+	it("are reset by each report when only tasks are sent", async () => {
 		const {rooms, tell, send} = createWorld(false)
 		tell()
 		send()
@@ -59,7 +57,7 @@
 		expect(rooms.of("b")?.freeCpu).to.eql([16_000, 8_000])
 	})
 
-	it("is none until it is told again, where a call got nowhere", () => {
+	it("are none until the next report after a failed call", () => {
 		const {rooms, tell} = createWorld(true)
 		tell()
 		rooms.close("b")
--- a/packages/jobs/test/dispatcher.test.ts
+++ b/packages/jobs/test/dispatcher.test.ts
@@ -1,6 +1,4 @@
-/**
- * Jobs that callers and other instances hand in here.
- */
+/** Jobs submitted to the dispatcher by callers and other instances. */
 import {silentLog, type FleetConfig, type Job, type Queue} from "@cottonwood/jobs"
 import {createDispatcher, createFleetView, type JobMessage} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -80,14 +78,14 @@
 		expect(ran).to.have.length(1)
 	})
 
-	it("go by the placer's own configuration when that is as new, or newer", async () => {
+	it("use the placer's own configuration when it is as new or newer", async () => {
 		const {dispatcher, caller, ran, clock} = createWorld(configOf(5, [QUEUE]))
 		void dispatcher.runJob(messageUnder(4, newer), caller)
 		await clock.advance(1)
 		expect(ran.map(({service}) => service)).to.eql(["svc"])
 	})
 
-	it("are refused when the newer configuration here has their queue no more", async () => {
+	it("are refused when the newer configuration here lacks their queue", async () => {
 		const {dispatcher, caller, ran} = createWorld(configOf(5, []))
 		const reply = await dispatcher.runJob(messageUnder(4, newer), caller)
 		expect(reply).to.deep.include({type: "refused", kind: "no_configuration"})
@@ -95,8 +93,8 @@
 	})
 })
 
-describe("jobs that lay unread", () => {
-	it("at their placer are as old as they are by the word of whoever sent them", async () => {
+describe("jobs whose call waited unread", () => {
+	it("count their age from when the sending instance made the call", async () => {
 		const {dispatcher, caller, jobs, clock} = createWorld(configOf(4, [QUEUE]))
 		clock.freeze(3_000)
 		const madeAt = clock.now() - 2_500
@@ -107,10 +105,10 @@
 	})
 
 	/*
-	 * An instance stood still for 3 s with a call in its socket, whose caller gave up after 1.5 s and handed the same id in
-	 * elsewhere. Read as fresh it ran again beside that: "runs at i-3/1 and i-1" on processes.
+	 * Guards against running a job twice: an instance stood still with a call unread while the caller gave up and submitted
+	 * the same id elsewhere.
 	 */
-	it("at the instance that their caller reached are as old as they may be", async () => {
+	it("count the longest possible age at the instance that their caller reached", async () => {
 		const {dispatcher, ownCaller, claim, read, jobs, clock} = createWorld(configOf(4, [QUEUE]))
 		const job = (): Job => ({
 			id: "00000000000000aa",
--- a/packages/jobs/test/elsewhere.test.ts
+++ b/packages/jobs/test/elsewhere.test.ts
@@ -1,6 +1,4 @@
-/**
- * Whole jobs that a placer without room sends to another domain, with its real queue and executors in memory.
- */
+/** Whole jobs that a placer without room moves to another domain, with a real queue and executors in memory. */
 import {
 	createJobMetrics,
 	silentLog,
@@ -22,7 +20,7 @@
 import {fakePeers} from "./support/peers.js"
 import {LEASE_RULE, NO_ADVISOR, NO_KEPT_RUNS, QUEUE, STAYING} from "./support/requests.js"
 
-/** Two of these fill an executor. */
+/** Two tasks of this size fill an executor. */
 const TASK_CPU = 27_000
 
 const member = (failureDomain: string): Member => ({
@@ -38,7 +36,7 @@
 	placer: member(failureDomain),
 })
 
-/** The placer of one domain with one executor, which hears of the room of others. */
+/** The placer of one domain with one executor, which receives reports of other domains' room. */
 function createWorld(clock: FakeClock, own = "a", crossDomainMs = 0) {
 	const fleet = new FakeFleet(clock)
 	const metrics = createJobMetrics()
@@ -75,7 +73,7 @@
 		elsewhere,
 	})
 	let serial = 0
-	/** Hands in a job of so many tasks; the answer comes to `ends`. */
+	/** Submits a job with this many tasks; `ends` receives its end. */
 	function submit(tasks: number, been: readonly string[] | "stays" = []) {
 		const id = `${own}${String(++serial).padStart(15, "0")}`
 		const need = {cpu: TASK_CPU, memoryMb: 1, accelerators: 0}
@@ -112,7 +110,7 @@
 	return {hosts, fleet, view, evacuated, byTasks, submit, tell, startsOf}
 }
 
-/** Its executors are taken, and the other domains' placers have been there for a while. */
+/** A world whose executors are full, and whose other domains have had placers for a while. */
 async function createFullWorld({
 	clock = createFakeClock(),
 	own = "a",
@@ -129,7 +127,7 @@
 }
 
 describe("a job without room in its domain", () => {
-	it("goes as a whole where it fits, and nothing of it starts here", async () => {
+	it("moves as a whole to where it fits, and nothing of it starts here", async () => {
 		const {submit, tell, startsOf, clock, byTasks, hosts} = await createFullWorld()
 		tell("b", [64_000])
 		const {id, ends} = submit(2)
@@ -141,7 +139,7 @@
 		expect(startsOf(id)).to.equal(0)
 	})
 
-	it("stays, and its tasks go one by one, once the told room is used up", async () => {
+	it("stays, and its tasks go one by one, once the reported room is used up", async () => {
 		const {submit, tell, clock, byTasks} = await createFullWorld()
 		tell("b", [64_000])
 		const first = submit(2)
@@ -152,19 +150,19 @@
 		expect(byTasks.map(({req}) => req.job)).to.include(second.id)
 	})
 
-	it("stays when its coordinator moves none, when it has moved twice, or was there before", async () => {
+	it("stays when its coordinator moves no jobs, after two moves, and when it was there before", async () => {
 		for (const been of ["stays", ["c", "d"], ["b"]] as const) {
 			const {submit, tell, clock, byTasks} = await createFullWorld()
 			tell("b", [64_000, 64_000])
 			const {ends} = submit(1, been)
 			await clock.advance(5)
 			expect(ends).to.eql([])
-			// Its tasks carry on where it has been, for whoever hands them on one by one.
+			// Its tasks carry the domains tried for the next placer.
 			expect(byTasks[0]?.req.been).to.eql(been === "stays" ? undefined : been)
 		}
 	})
 
-	it("stays once anything of it has started: its tasks alone go elsewhere, no sooner than the operator asks", async () => {
+	it("stays once anything of it has started; its tasks move after the configured gain has passed", async () => {
 		const {clock, fleet, submit, tell, byTasks} = await createFullWorld({crossDomainMs: 10})
 		tell("b", [64_000, 64_000])
 		fleet.end(fleet.starts[0]?.task ?? "", "done")
@@ -172,13 +170,13 @@
 		const {id, ends} = submit(2)
 		await clock.advance(5)
 		expect(byTasks).to.have.length(0)
-		// No run ends here meanwhile, and nothing is heard of other domains.
+		// No run ends here meanwhile, and no report arrives.
 		await clock.advance(25)
 		expect(ends).to.eql([])
 		expect(byTasks[0]?.req.job).to.equal(id)
 	})
 
-	it("stays while the other domain is emptied, leaves, or tells nothing", async () => {
+	it("stays while the other domain is evacuated, its placer leaves, or it reports nothing", async () => {
 		for (const trouble of ["emptied", "leaving", "silent"]) {
 			const {submit, tell, clock, evacuated} = await createFullWorld()
 			if (trouble === "emptied") evacuated.add("b")
@@ -198,7 +196,7 @@
 		expect(job.ends).to.eql([])
 	})
 
-	it("stays when what the other domain told is old", async () => {
+	it("stays when the other domain's report is old", async () => {
 		const {submit, tell, clock} = await createFullWorld()
 		tell("b", [64_000])
 		await clock.advance(520)
@@ -207,11 +205,8 @@
 		expect(job.ends).to.eql([])
 	})
 
-	/*
-	 * Two domains are full and hear of the same room in the third at the same time, and of nothing further. Each would fill it
-	 * alone; together they would leave a queue there.
-	 */
-	it("finds the one free domain never sent more than it told, whoever else sends there", async () => {
+	/* Guards against overfilling a domain: two full domains get the same report of its room at the same time. */
+	it("is never sent to a domain beyond its reported room, even when two domains send at once", async () => {
 		const clock = createFakeClock()
 		const domains = ["a", "b", "c"]
 		const a = await createFullWorld({clock, domains})
@@ -224,7 +219,7 @@
 		await clock.advance(5)
 		const sent = jobs.filter(({ends}) => ends.includes("to c")).length
 		expect(sent).to.be.greaterThan(8)
-		// Two fit on each of the six executors.
+		// Two jobs fit on each of the six executors.
 		expect(sent).to.be.at.most(12)
 	})
 })
--- a/packages/jobs/test/handover.test.ts
+++ b/packages/jobs/test/handover.test.ts
@@ -1,6 +1,4 @@
-/**
- * Giving a failure domain to a successor.
- */
+/** Handing a failure domain over to a successor. */
 import {silentLog, type Claim, type Member} from "@cottonwood/jobs"
 import {
 	createFleetView,
@@ -63,7 +61,7 @@
 }
 
 describe("handover", () => {
-	it("waits for a successor whose store is slow rather than ask another one", async () => {
+	it("waits for a successor with a slow store instead of asking another one", async () => {
 		const world = createWorld([member("a-1"), member("a-2"), member("a-3")], 1_200)
 		void world.handover.handOverAll()
 		await world.clock.advance(3_000)
@@ -72,10 +70,8 @@
 	})
 
 	/*
-	 * All instances were stopped in turn, two seconds apart. A domain's two large ones came one after the other, so its placer
-	 * handed over to the largest that was left there, a quarter of its size: its executors obeyed after 0.3 s, and 22 calls
-	 * found no placer in time. Settled by `handover`, `queue_from_peer` and `job_refused` lines, and the seconds from 20 to 24
-	 * of that day: 0.88 and 0.77 of their credit, where the others had 0.97 and more.
+	 * Guards against handing a domain to a much smaller instance during a rolling restart: it takes over slowly, and jobs
+	 * find no placer in time.
 	 */
 	it("goes to an instance of its size elsewhere rather than to a much smaller one", async () => {
 		const large = {...member("b-1", 1.35), failureDomain: "b"}
@@ -90,7 +86,7 @@
 		expect(small.asked, "better than nobody").to.eql(["a-2:1"])
 	})
 
-	it("comes back to a large instance of its own soon, and to a small one only in the end", async () => {
+	it("returns to a large instance of its own domain soon, and to a small one much later", async () => {
 		const placer = {...member("b-1", 1.35), failureDomain: "b"}
 		const small = createWorld([placer, member("a-2", 0.324)], 10)
 		await small.clock.advance(15_000)
@@ -110,7 +106,7 @@
 		expect(world.given).to.eql([])
 	})
 
-	it("gives its runs on when the claim is the successor's though no answer came", async () => {
+	it("hands its runs over when the successor has the claim but its answer was lost", async () => {
 		const world = createWorld([member("a-1"), member("a-2"), member("a-3")], 5_000)
 		void world.handover.handOverAll()
 		await world.clock.advance(100)
@@ -120,7 +116,7 @@
 		expect(world.given).to.eql(["a-2/5"])
 	})
 
-	it("asks one instance at a time, also when a planned stop falls into a handover", async () => {
+	it("asks one instance at a time, also when a planned stop begins during a handover", async () => {
 		const world = createWorld([member("a-1", 0.3), member("a-2", 0.4), member("a-3", 1.3)], 1_000)
 		await world.clock.advance(2_600)
 		expect(world.asked).to.eql(["a-3:1"])
@@ -134,7 +130,7 @@
 		expect(isGiven).to.equal(true)
 	})
 
-	it("gives the domain to a much larger instance once that has settled", async () => {
+	it("moves the domain to a much larger instance that has been there for a while", async () => {
 		const world = createWorld([member("a-1", 0.3), member("a-2", 0.4), member("a-3", 1.3)], 10)
 		await world.clock.advance(1_500)
 		expect(world.asked).to.eql([])
@@ -143,12 +139,10 @@
 	})
 
 	/*
-	 * Symptom: calls to a placer on a machine that had turned seven times slower broke off after 0.2 to 1.0 s, 93 jobs in
-	 * 6 s were answered as open, and the claim did not move. Sequence: a placer that is slow goes on beating, so
-	 * nobody took it for silent (1 s); peers' calls to it broke off at 0.6 s without an answer. Cause: only silence
-	 * moved a claim. Settled by `placer_asked` lines with outcome `given up` and a fresh `inputAgeMs`.
+	 * Guards against an overloaded placer that keeps its domain: it still sends heartbeats, so silence alone never moves
+	 * its claim.
 	 */
-	it("gives its domain away when it cannot keep up, to nobody who says the same, and not at once again", async () => {
+	it("moves the domain off an overloaded instance, to one that isn't, and not again at once", async () => {
 		const world = createWorld([member("a-1"), member("a-2"), member("a-3")], 10)
 		const beatOf = (name: string, isStrained: boolean) => ({
 			from: member(name),
@@ -170,7 +164,7 @@
 		expect(world.given).to.have.length(1)
 	})
 
-	it("takes no domain over while it cannot keep up itself", async () => {
+	it("declines a takeover while overloaded", async () => {
 		const world = createWorld([member("a-1"), member("a-2")], 10)
 		world.strain.isStrained = true
 		const message = {failureDomain: "a", fence: 4, executors: [], from: "a-2-s"}
--- a/packages/jobs/test/hosts.test.ts
+++ b/packages/jobs/test/hosts.test.ts
@@ -1,6 +1,4 @@
-/**
- * The placers that one instance hosts, when one more domain is handed to it.
- */
+/** The placers hosted by one instance, when another domain is handed over to it. */
 import {createJobMetrics, silentLog, type Claim, type ExecutorRecord} from "@cottonwood/jobs"
 import {createHostedPlacers, type Keeper} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -41,8 +39,8 @@
 	return {clock, hosts}
 }
 
-describe("hosts", () => {
-	it("goes on using its own domain's executors while it takes another domain over", async () => {
+describe("hosted placers", () => {
+	it("keep using their own domain's executors while another domain is taken over", async () => {
 		const {clock, hosts} = createWorld([record("a1")])
 		hosts.noteClaim(claimOf("a", 1))
 		await clock.advance(50)
@@ -54,7 +52,7 @@
 		expect(hosts.of("b")?.placer.counts().usable).to.equal(1)
 	})
 
-	it("takes no handover for one that belongs to another claim", async () => {
+	it("ignore a handover announced for another claim", async () => {
 		const {clock, hosts} = createWorld([record("b2", {failureDomain: "b"})])
 		hosts.expectHandover({failureDomain: "b", fence: 5}, [record("b1", {failureDomain: "b"})])
 		hosts.noteClaim(claimOf("b", 7))
@@ -63,7 +61,7 @@
 		expect(hosts.of("b")?.placer.hasTakenOver()).to.equal(false)
 	})
 
-	it("ends placing when its successor's answer was lost and somebody else has the claim", async () => {
+	it("end placing when the successor's answer was lost and another instance has the claim", async () => {
 		const {clock, hosts} = createWorld([record("a1")])
 		hosts.noteClaim(claimOf("a", 1))
 		await clock.advance(50)
@@ -74,7 +72,7 @@
 		expect(hosts.of("a")).to.equal(undefined)
 	})
 
-	it("names executors that the list has dropped to its successor while something runs there", async () => {
+	it("include executors in a handover that the list has dropped but that still run something", async () => {
 		const {clock, hosts} = createWorld([record("a1"), record("a2")])
 		hosts.noteClaim(claimOf("a", 1))
 		await clock.advance(50)
--- a/packages/jobs/test/job-run.test.ts
+++ b/packages/jobs/test/job-run.test.ts
@@ -1,6 +1,4 @@
-/**
- * A job's progress: steps in order, retries, and truthful ends.
- */
+/** One job at its placer: order of steps, retries and how it ends. */
 import {createJobMetrics, silentLog, type Job, type Step} from "@cottonwood/jobs"
 import {startJobRun, type TaskEnd, type TaskRequest} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -45,7 +43,7 @@
 const done: TaskEnd = {type: "done", executor: "e1"}
 
 describe("job run", () => {
-	it("begins a step once every task of the steps before is done", async () => {
+	it("starts a step once every task of the previous steps is done", async () => {
 		const {submitted, end} = createWorld([{count: 2}, {after: [0]}])
 		expect(submitted).to.have.length(2)
 		submitted[0]?.onEnd(done)
@@ -57,7 +55,7 @@
 		expect(end()).to.eql({type: "completed"})
 	})
 
-	it("tries a failed task elsewhere and fails after as many attempts as the queue allows", async () => {
+	it("retries a failed task on another executor and fails after the queue's number of attempts", async () => {
 		const {clock, submitted, end} = createWorld([{}])
 		submitted[0]?.onEnd({type: "failed", executor: "e1", cause: "failed"})
 		await clock.advance(50)
@@ -80,7 +78,7 @@
 		expect(end()?.type).to.equal("completed")
 	})
 
-	it("is never said to have failed when its runs were only lost", async () => {
+	it("doesn't fail when its runs were only lost", async () => {
 		const {clock, submitted, end} = createWorld([{}])
 		for (let at = 0; at < 40 && end() === undefined; at++) {
 			submitted[at]?.onStart()
@@ -97,7 +95,7 @@
 		expect(submitted[1]?.req.run).to.be.greaterThan(10)
 	})
 
-	it("says that it never ran only when nothing has started", async () => {
+	it("ends as not run only when nothing has started", async () => {
 		const unstarted = createWorld([{}])
 		await unstarted.clock.advance(2_100)
 		expect(unstarted.end()).to.deep.include({type: "refused"})
@@ -108,12 +106,8 @@
 		expect(started.submitted[0]?.isCancelled).to.equal(true)
 	})
 
-	/*
-	 * Callers can't send an unsafe call again after an answer that leaves open whether it ran. When a placer lost its domain,
-	 * all its jobs got such an answer, also those of which every task still waited. Settled by `job_given_up` lines with
-	 * `placer_lost` for jobs without any `task_started`.
-	 */
-	it("may come again when its placer loses the domain before anything has started", async () => {
+	/* Guards against an unknown outcome for jobs that never started: callers can't repeat an unsafe call after it. */
+	it("ends as not run when its placer loses the domain before anything has started", async () => {
 		const unstarted = createWorld([{count: 2}])
 		unstarted.run.abandon("another claim was written")
 		await settle()
@@ -125,7 +119,7 @@
 		expect(started.end()).to.deep.include({type: "given up", kind: "placer_lost"})
 	})
 
-	it("stops all that is left when its submitter leaves", async () => {
+	it("stops its remaining tasks when its caller leaves", async () => {
 		const {submitted, run} = createWorld([{count: 3}])
 		submitted[0]?.onStart()
 		submitted[0]?.onEnd(done)
@@ -134,7 +128,7 @@
 		expect(submitted.map(({isCancelled}) => isCancelled)).to.eql([false, true, true])
 	})
 
-	it("is confirmed by nothing that its submitter does after its end", async () => {
+	it("ignores its caller's confirmations after its end", async () => {
 		const {clock, submitted, run} = createWorld([{count: 2}])
 		submitted[0]?.onStart()
 		await clock.advance(100)
--- a/packages/jobs/test/late-placers.test.ts
+++ b/packages/jobs/test/late-placers.test.ts
@@ -1,6 +1,6 @@
 /**
- * A load that is too much for a while, replayed through what judges placers: three instances of one failure domain whose
- * processes do one thing after the other, so that beats, questions and answers wait behind the work.
+ * A temporary overload, replayed through the detection of dead placers: three instances of one failure domain, whose
+ * processes do one thing at a time, so that heartbeats, pings and answers wait behind the work.
  */
 import type {Clock} from "@cottonwood/core"
 import {createJobMetrics, silentLog, type Claim, type Member} from "@cottonwood/jobs"
@@ -11,25 +11,22 @@
 
 const BEAT_MS = 200
 const USUAL_PING_MS = 350
-/** A connection that is not accepted within this is given up; see the client of calls between instances. */
+/** A connection that isn't accepted within this time is given up, as in the client of calls between instances. */
 const ESTABLISH_MS = 300
 const LOOK_MS = 20
-/** Of a second of a processor, for the jobs of a second: the usual load, and twice and a half of it. */
+/** Processor seconds needed per second of arrivals. */
 const USUAL_LOAD = 0.6
 const BURST = {from: 500, until: 4_500, times: 2.5}
-/** Jobs that come when the placer is late beyond any use are refused, which costs a fifth. */
+/** A placer later than this refuses jobs, at a fifth of a job's cost. */
 const USELESS_MS = 600
 const REFUSAL_SHARE = 0.2
-/**
- * What a change of the placer costs the next one: some 385 connections and 20 runs to do again a change, by the lines of
- * that fleet, at some 4 ms each on 0.12 of a core.
- */
+/** Work that a new placer has at first: connections to executors and runs to repeat. */
 const TAKEOVER_WORK_MS = 1_500
 const LENGTH_MS = 12_000
-/** What waits at the end of the burst is done by then. */
+/** Queued work is done this long after the end of the burst. */
 const OVER_WITHIN_MS = 1_500
 
-/** One process that does one thing after the other. */
+/** A process that does one thing at a time. */
 function createProcess(clock: Clock) {
 	let busyUntil = 0
 	const lateMs = () => Math.max(0, busyUntil - clock.now())
@@ -49,7 +46,7 @@
 	}
 }
 
-/** How a coordinator takes a call whose connection was not accepted in time. */
+/** What a connection that isn't accepted in time counts as. */
 type Judge = "as its end" | "as a late one"
 
 async function replay(judge: Judge) {
@@ -130,20 +127,15 @@
 	return {changes: fence - 1, lateFrom}
 }
 
-describe("a load that is too much for a while", () => {
-	/*
-	 * A fleet of eighteen small instances served nothing, from the first second of a burst to the day's end, 40 s after the
-	 * burst. Calls to a busy placer were not accepted in time and counted as its end; its successor began with the runs
-	 * of the one before and was as late at once. Settled by 111 `claim_written` lines in 55 s about placers that lived,
-	 * and 2,205 `task_retry` lines.
-	 */
+describe("a temporary overload", () => {
+	/* Guards against a takeover storm: late placers were taken for dead, and each successor was late as well. */
 	it("moves the domain, and lasts longer, when late placers are taken for dead", async () => {
 		const {changes, lateFrom} = await replay("as its end")
 		expect(changes).to.be.greaterThan(1)
 		expect(lateFrom(BURST.until + OVER_WITHIN_MS)).to.be.greaterThan(ESTABLISH_MS)
 	})
 
-	it("moves no domain, and is soon over", async () => {
+	it("moves no domain and ends soon when late placers count as alive", async () => {
 		const {changes, lateFrom} = await replay("as a late one")
 		expect(changes).to.equal(0)
 		expect(lateFrom(BURST.until + OVER_WITHIN_MS)).to.be.lessThan(50)
--- a/packages/jobs/test/moved-job.test.ts
+++ b/packages/jobs/test/moved-job.test.ts
@@ -1,6 +1,4 @@
-/**
- * Jobs that a placer sends to another domain before anything of them has started.
- */
+/** Jobs that a placer moves to another domain before anything of them has started. */
 import {
 	createJobMetrics,
 	type Claim,
@@ -46,7 +44,7 @@
 
 type Answer = JobReply | "silent" | "unsent"
 
-/** An instance that hears its home placer only, as most do; placers answer by name, in turn. */
+/** An instance that only hears its own domain's placer, as most do. Placers answer in turn by the given lists. */
 function createWorld(answers: Readonly<Record<string, Answer[]>>) {
 	const clock = createFakeClock()
 	const metrics = createJobMetrics()
@@ -101,8 +99,8 @@
 	return {run, asked, lines, metrics, confirmations}
 }
 
-describe("a job that is sent elsewhere", () => {
-	it("is asked for there with where it has been, and its line says why it went and how it ended", async () => {
+describe("a moved job", () => {
+	it("carries the domains tried, and its log line says why it moved and how it ended", async () => {
 		const {run, asked, lines, metrics} = createWorld({
 			a: [moveTo("b")],
 			b: [{type: "completed"}],
@@ -124,7 +122,7 @@
 		expect(await metrics.text()).to.contain('whole_jobs_moved{reason="completed"} 1')
 	})
 
-	it("is confirmed to whoever has it by its own caller, as of when that was heard", async () => {
+	it("is confirmed to its new placer as of when its own caller was heard", async () => {
 		let heardAt = 1_000
 		const {run, confirmations} = createWorld({a: [moveTo("b")], b: [{type: "completed"}]})
 		await run({...STAYING, madeAt: 1_000, confirmedAt: () => heardAt})
@@ -132,14 +130,14 @@
 		expect(confirmations[1]?.()).to.equal(1_200)
 	})
 
-	/* Whoever was sent the job may have begun it: nobody else may. Its caller comes again when all runs are certainly over. */
-	it("is given up after silence, and never begun a second time", async () => {
+	/* Guards against running a job twice: the silent placer may have started it. */
+	it("is given up when its new placer is silent, and never started a second time", async () => {
 		const {run, asked} = createWorld({a: [moveTo("b")], b: ["silent"]})
 		expect(await run()).to.include({type: "given up", kind: "placer_lost"})
 		expect(asked.map(({domain}) => domain)).to.eql(["a", "b"])
 	})
 
-	it("is taken by its own placer when it certainly never got there, which sends it there no more", async () => {
+	it("returns to the placer that moved it when it was never sent, and isn't moved there again", async () => {
 		const {run, asked} = createWorld({a: [moveTo("b"), {type: "completed"}], b: ["unsent"]})
 		expect(await run()).to.eql({type: "completed"})
 		expect(asked).to.eql([
@@ -159,7 +157,7 @@
 		expect(back.asked.map(({domain}) => domain)).to.eql(["a", "b"])
 	})
 
-	it("is refused as not run, and counted, when a placer's word cannot be followed", async () => {
+	it("is refused as not run, and counted, when the placer's answer is invalid", async () => {
 		const words = [
 			moveTo("b", {hereMs: NaN}),
 			moveTo("b", {thereMs: "soon" as never}),
--- a/packages/jobs/test/overflow.test.ts
+++ b/packages/jobs/test/overflow.test.ts
@@ -1,6 +1,4 @@
-/**
- * Tasks that go to another domain's placer, and what becomes of them when it falls silent.
- */
+/** Tasks handed to another domain's placer, also when it stops responding. */
 import {
 	createJobMetrics,
 	silentLog,
@@ -73,7 +71,7 @@
 		view.applyHeartbeat(beat)
 	}
 	const ends: TaskEnd[] = []
-	/** As of when the callers here are known to wait; they have not been heard since the beginning. */
+	/** The last confirmation by the callers here, which have not been heard since the start. */
 	const confirmedAt = clock.now()
 	let stop: (() => void) | undefined
 	function hand(task: string, extra: Parameters<typeof taskRequest>[1] = {}) {
@@ -95,7 +93,7 @@
 }
 
 describe("overflow", () => {
-	it("goes only where room was told, and counts it down", () => {
+	it("goes only where room was reported, and deducts it", () => {
 		const {tellRoom, hand, calls} = createWorld()
 		expect(hand("j.0.0.0")).to.equal(false)
 		tellRoom([54_000])
@@ -103,7 +101,7 @@
 		expect(calls).to.have.length(2)
 	})
 
-	it("takes no old word for room", async () => {
+	it("ignores old reports", async () => {
 		const {tellRoom, hand, clock} = createWorld()
 		tellRoom([54_000])
 		await clock.advance(800)
@@ -117,7 +115,7 @@
 		expect(hand("j.0.0.0", {rack: "r1"})).to.equal(true)
 	})
 
-	it("hands the end on, and a cancel there", async () => {
+	it("passes on the task's end and a cancellation", async () => {
 		const {tellRoom, hand, calls, ends, stop} = createWorld()
 		tellRoom([54_000])
 		hand("j.0.0.0")
@@ -128,7 +126,7 @@
 		expect(ends).to.eql([{type: "done", executor: "e9"}])
 	})
 
-	it("takes a task back at once that was never sent, unless it runs already", async () => {
+	it("takes a task that was never sent back at once, unless it is running already", async () => {
 		const {tellRoom, hand, giveRunning, calls, ends, clock} = createWorld()
 		tellRoom([54_000])
 		hand("j.0.0.0")
@@ -143,7 +141,7 @@
 		expect(ends.map(({type}) => type)).to.eql(["returned", "lost"])
 	})
 
-	it("does not take a running task back from a successor that places no more: it may still run", async () => {
+	it("doesn't take a running task back from a successor that has stopped placing, since it may still run", async () => {
 		const {giveRunning, calls, ends, clock} = createWorld()
 		giveRunning("j.0.0.0")
 		calls[0]?.answer({type: "not placer"})
@@ -153,7 +151,7 @@
 		expect(ends.map(({type}) => type)).to.eql(["lost"])
 	})
 
-	it("takes a task as lost only when its silent placer and executor have certainly given it up", async () => {
+	it("counts a task as lost only when its lease has certainly ended", async () => {
 		const {tellRoom, hand, calls, ends, clock} = createWorld()
 		tellRoom([54_000])
 		hand("j.0.0.0")
--- a/packages/jobs/test/placed-anew.test.ts
+++ b/packages/jobs/test/placed-anew.test.ts
@@ -1,6 +1,4 @@
-/**
- * Jobs whose placer fell silent: placed anew once every run is certainly over, or answered at once.
- */
+/** Jobs whose placer stopped responding: rescheduled once every run has certainly ended, or answered at once. */
 import {createJobMetrics, silentLog, type Job, type JobEnd, type Member} from "@cottonwood/jobs"
 import {
 	certainEndSinceTold,
@@ -16,9 +14,9 @@
 import {fakePeers} from "./support/peers.js"
 import {LEASE_RULE, QUEUE} from "./support/requests.js"
 
-/** The peers' stream has been silent for so long when its calls are told as lost. */
+/** Silence on the peers' stream after which its calls count as lost. */
 const NOTICED_MS = 600
-/** Callers come back so long after an answer that leaves the end open. */
+/** Time after which callers submit again after an unknown outcome. */
 const RESUBMIT_MS = 1_300
 
 const member = (name: string, failureDomain: string): Member => ({
@@ -59,7 +57,7 @@
 				const reply = new Promise<JobReply | undefined>(answer =>
 					calls.push({address, message, at, answer}),
 				)
-				// The peer answers no reading any more: what it was told last is what the call said.
+				// The peer confirms nothing after the call itself.
 				return {
 					reply,
 					wasUnsent: () => false,
@@ -105,7 +103,7 @@
 		return {job, ended}
 	}
 
-	/** A successor of the domain's placer is heard from now on. */
+	/** Announces a successor of the domain's placer. */
 	function succeed() {
 		const successor = member("a-3", "a")
 		view.noteClaim({failureDomain: "a", fence: 2, placer: successor})
@@ -122,13 +120,10 @@
 	return {clock, calls, dispatch, succeed, loseFirst, leave, metrics}
 }
 
-describe("when a job is placed anew", () => {
+describe("the time of a reschedule", () => {
 	const lost = {lastConfirmedAt: 5_000, chainMs: 900, usefulUntil: 9_000}
 
-	/*
-	 * A placer's machine lost its power 600 ms before that was noticed. Nothing of its jobs was confirmed since, so their
-	 * runs are over sooner after the notice than their callers would be back.
-	 */
+	/* Guards against a reschedule that comes later than the caller's own retry would. */
 	it("is as soon as every run is over, counted from what the placer was told last", () => {
 		const at = rescheduleAt(LEASE_RULE, lost, 5_600)
 		expect(at).to.equal(certainEndSinceTold(LEASE_RULE, 5_000))
@@ -140,7 +135,7 @@
 		expect(rescheduleAt(LEASE_RULE, lost, 7_000)).to.equal(7_000)
 	})
 
-	/* Nobody is held for an answer that is of no use: short jobs with a deadline of 1.5 s, which most callers of these have. */
+	/* Guards against holding callers for an answer that is of no use to them. */
 	it("is never when its end would be of no use by then, or nobody knows what was told", () => {
 		expect(rescheduleAt(LEASE_RULE, {...lost, usefulUntil: 7_100}, 5_600)).to.equal(undefined)
 		expect(rescheduleAt(LEASE_RULE, {...lost, lastConfirmedAt: Infinity}, 5_600)).to.equal(
@@ -150,8 +145,8 @@
 	})
 })
 
-describe("a job whose placer fell silent", () => {
-	it("is placed anew once every run of it is certainly over, and no sooner", async () => {
+describe("a job whose placer stopped responding", () => {
+	it("is rescheduled once every run of it has certainly ended, and no sooner", async () => {
 		const {clock, calls, dispatch, succeed, loseFirst} = createWorld()
 		const {job, ended} = dispatch(900, 6_000)
 		await loseFirst()
@@ -162,7 +157,7 @@
 		expect(calls.map(({address}) => address)).to.eql(["a-1:1", "a-3:1"])
 		const [first, second] = calls as [Call, Call]
 		expect(second.at - first.at).to.be.at.least(LEASE_RULE.endsWithinMs)
-		// Fresh by its age, as its caller's return would be, and never beyond what the caller said.
+		// Counts as a new arrival, within the caller's original deadline.
 		expect(second.message.ageMs).to.equal(0)
 		expect(second.at + second.message.leftMs).to.equal(job.deadlineAt)
 		second.answer({type: "completed"})
@@ -180,8 +175,8 @@
 		expect(calls).to.have.length(1)
 	})
 
-	/* Something of it may have run: whoever refuses it now can only speak for itself. */
-	it("is never answered as refused, whatever is said of it then", async () => {
+	/* The first placer may have run it, so a later refusal says nothing about that. */
+	it("is never answered as refused when another placer refuses it", async () => {
 		const {clock, calls, dispatch, succeed, loseFirst} = createWorld()
 		const {ended} = dispatch(900, 6_000)
 		await loseFirst()
@@ -193,7 +188,7 @@
 		expect(ended.end).to.include({type: "given up", kind: "placer_lost"})
 	})
 
-	it("is never answered as refused when no placer is there by then", async () => {
+	it("is never answered as refused when there is no placer", async () => {
 		const {clock, dispatch, loseFirst} = createWorld()
 		const {ended} = dispatch(900, 6_000)
 		await loseFirst()
@@ -201,7 +196,7 @@
 		expect(ended.end).to.include({type: "given up", kind: "placer_lost"})
 	})
 
-	it("is placed nowhere once its caller has left", async () => {
+	it("is not rescheduled once its caller has left", async () => {
 		const {clock, calls, dispatch, succeed, loseFirst, leave} = createWorld()
 		const {ended} = dispatch(900, 6_000)
 		await loseFirst()
@@ -213,7 +208,7 @@
 		expect(calls).to.have.length(1)
 	})
 
-	it("is answered at once where this is not switched on", async () => {
+	it("is answered at once when rescheduling is off", async () => {
 		const {dispatch, loseFirst, metrics} = createWorld({isOn: false})
 		const {ended} = dispatch(900, 6_000)
 		await loseFirst()
@@ -225,8 +220,8 @@
 		expect(await metrics.text()).not.to.match(/jobs_lost\{/)
 	})
 
-	/* The second placer is lost as well: the same again, as long as an end is of use. */
-	it("outlives the loss of a second placer", async () => {
+	/* Reschedules again when the second placer is lost too. */
+	it("is rescheduled again after the loss of a second placer", async () => {
 		const {clock, calls, dispatch, succeed, loseFirst} = createWorld()
 		const {ended} = dispatch(900, 6_000)
 		await loseFirst()
--- a/packages/jobs/test/refused-elsewhere.test.ts
+++ b/packages/jobs/test/refused-elsewhere.test.ts
@@ -1,6 +1,4 @@
-/**
- * A job that one placer refused by its forecast, and that another placer may still take.
- */
+/** Jobs refused by one placer's forecast that another placer may still take. */
 import {silentLog, type Job, type JobEnd} from "@cottonwood/jobs"
 import {createDispatcher, createFleetView} from "@cottonwood/jobs/internals"
 import {expect} from "chai"
@@ -8,7 +6,7 @@
 import {fakePeers} from "./support/peers.js"
 import {QUEUE, STAYING} from "./support/requests.js"
 
-/** Two failure domains placed here; the first one refuses after a while, the second one takes everything. */
+/** Two failure domains placed here: the first refuses after a delay, the second completes everything. */
 function createWorld(refuseAfterMs: number, refusal: JobEnd) {
 	const clock = createFakeClock()
 	const self = {name: "a-1", session: "s", failureDomain: "a", address: "a-1:1", cpuShare: 1}
@@ -58,20 +56,20 @@
 const byForecast: JobEnd = {...byBacklog, retryAfterMs: 1_200}
 
 describe("a job refused by a forecast", () => {
-	/* It waited 60 ms before its forecast turned bad, and has 60 ms more in which it can start elsewhere and be in time. */
-	it("goes to another placer while it can be in time there", async () => {
+	/* It is refused after 60 ms, and can still be on time with a start within another 60 ms. */
+	it("goes to another placer while it can be on time there", async () => {
 		const {asked, dispatched} = createWorld(60, byForecast)
 		expect(await dispatched()).to.eql({type: "completed"})
 		expect(asked).to.eql(["a", "b"])
 	})
 
-	it("is answered at once when it cannot, with the time to come back", async () => {
+	it("is answered at once when it can't, with a retry time", async () => {
 		const {asked, dispatched} = createWorld(150, byForecast)
 		expect(await dispatched()).to.eql(byForecast)
 		expect(asked).to.eql(["a"])
 	})
 
-	it("went nowhere else after a wait while it was refused by the backlog", async () => {
+	it("isn't tried elsewhere after a wait when it was refused for the backlog", async () => {
 		const {asked, dispatched} = createWorld(60, byBacklog)
 		expect(await dispatched()).to.eql(byBacklog)
 		expect(asked).to.eql(["a"])
--- a/packages/jobs/test/replayed-load.test.ts
+++ b/packages/jobs/test/replayed-load.test.ts
@@ -1,7 +1,6 @@
 /**
- * Loads that cost callers most, replayed through the decisions in virtual time: queue, judgement, choice of an
- * executor, links, room told to other domains, and refusals. Each bound lies between the figure before the decision
- * that the load led to and the figure with it, both over these seeds.
+ * Heavy loads, replayed through the placement decisions in virtual time. Each bound lies between the figures without and
+ * with the decision that it guards, over these seeds.
  */
 import {expect} from "chai"
 import {replay, type ReplayDay, type ReplayFigures} from "./support/replay/replay-day.js"
@@ -12,7 +11,7 @@
 async function replayAll(day: ReplayDay): Promise<readonly ReplayFigures[]> {
 	const all: ReplayFigures[] = []
 	for (const seed of SEEDS) all.push(await replay(day, seed))
-	// Whatever the load: no task twice at once, and no executor over its room.
+	// Under any load no task runs twice at once and no executor is overfilled.
 	for (const {doubled, overfilled} of all)
 		expect({doubled, overfilled}).to.eql({doubled: 0, overfilled: 0})
 	return all
@@ -57,7 +56,7 @@
 		expect(mean(all, ({worth}) => worth)).to.be.greaterThan(0.91)
 	})
 
-	it("of half as much again is cut where it is least urgent", async () => {
+	it("of 1.5 times the usual rate is refused where it is least urgent", async () => {
 		const all = await replayAll({
 			jobsPerSecond: 97,
 			lengthMs: 8_000,
@@ -66,7 +65,7 @@
 		print("1.5 times the load", all)
 		expect(mean(all, ({kinds}) => kinds["short"] ?? 0)).to.be.greaterThan(0.71)
 		expect(mean(all, ({worth}) => worth)).to.be.greaterThan(0.805)
-		// Callers are told at once rather than served late.
+		// Callers are refused at once instead of served late.
 		expect(mean(all, ({late}) => late)).to.be.lessThan(0.08)
 	})
 
@@ -94,7 +93,7 @@
 		expect(mean(all, ({domains}) => domains["a"] ?? 0)).to.be.greaterThan(0.88)
 	})
 
-	/** No kind of request and no failure domain earns less of its credit than this: the aim for the work that has shifted. */
+	/** Least share of its credit that each kind of request and each failure domain must earn. */
 	const LEAST_SHARE = 0.85
 	const paired = {
 		work: PAIRED_WORK,
@@ -111,7 +110,7 @@
 		expect(mean(all, ({domains}) => leastOf(domains))).to.be.greaterThan(LEAST_SHARE)
 	})
 
-	it("of a domain that is emptied is served by the others", async () => {
+	it("of an evacuated domain is served by the others", async () => {
 		const all = await replayAll({
 			...paired,
 			jobsPerSecond: 110,
@@ -123,11 +122,10 @@
 	})
 
 	/*
-	 * Callers reach instances that hear their own domain's placer alone; one domain has four times the demand of the others, and
-	 * the waves of all three are out of phase. What the full placer refuses at once is tried nowhere else, and what it takes goes
-	 * away task by task.
+	 * Guards against refusals in a busy domain while others have room: callers reach instances that only hear their own
+	 * domain's placer, one domain has four times the demand, and the waves are out of phase.
 	 */
-	it("that one domain has four times as much of goes to the others as whole jobs", async () => {
+	it("of a domain with four times the demand moves to the others as whole jobs", async () => {
 		const uneven: ReplayDay = {
 			work: {...PAIRED_WORK, swing: 0.5, swingPeriodMs: 3_000},
 			executorsPerDomain: 15,
--- a/packages/jobs/test/replayed-overload.test.ts
+++ b/packages/jobs/test/replayed-overload.test.ts
@@ -1,12 +1,10 @@
-/**
- * Loads beyond the room, replayed through admission by forecast in virtual time: who is served, and who pays.
- */
+/** Overload, replayed through admission by forecast in virtual time: which queues are served how much. */
 import {expect} from "chai"
 import {replay, type ReplayDay, type ReplayFigures} from "./support/replay/replay-day.js"
 import {PAIRED_WORK} from "./support/replay/replay-work.js"
 
 const SEEDS = [1, 2, 3, 4, 5, 6]
-/** No kind is served less than this of the best served one's ratio: the users' aim. */
+/** Least ratio of any kind's served share to that of the best served kind. */
 const LEAST_OF_BEST = 0.94
 
 async function replayAll(day: ReplayDay): Promise<readonly ReplayFigures[]> {
@@ -20,7 +18,7 @@
 const mean = (all: readonly ReplayFigures[], figure: (one: ReplayFigures) => number) =>
 	all.reduce((sum, one) => sum + figure(one), 0) / all.length
 
-/** The worst served kind's ratio of the best served one's. */
+/** Ratio of the worst served kind's share to the best served kind's. */
 function leastOfBest(name: string, all: readonly ReplayFigures[]): number {
 	const kinds = ["short", "middle", "long"]
 	const served = kinds.map(kind => mean(all, one => one.served[kind] ?? 0))
@@ -38,10 +36,10 @@
 
 describe("replayed overload", () => {
 	/*
-	 * A burst of the long kind comes on the crests of the waves. By the backlog alone the kind of middle length, which can
-	 * wait neither long nor goes first, is refused for all: it was served 0.80 of the best served kind's ratio.
+	 * Guards against refusing only the kind of middle length: judged by the backlog alone, a burst of long jobs pushes it
+	 * out.
 	 */
-	it("by a burst of the long kind is paid by all kinds alike", async () => {
+	it("by a burst of long jobs affects all kinds alike", async () => {
 		for (const jobsPerSecond of [120, 150]) {
 			const all = await replayAll({
 				...paired,
@@ -53,8 +51,8 @@
 		}
 	})
 
-	/* Operators say that the short kind is due its room whatever else comes; it asks for less than its floor. */
-	it("spares a queue with a floor, and takes it from who asks for most", async () => {
+	/* A queue that asks for less than its floor keeps its room. */
+	it("spares a queue with a floor at the cost of the largest one", async () => {
 		const crest: ReplayDay = {
 			...paired,
 			jobsPerSecond: 150,
@@ -69,8 +67,8 @@
 		expect(creditOf(floored, "long")).to.be.lessThan(creditOf(even, "long"))
 	})
 
-	/* Every kind comes half as often again. The long kind was served nearly whole, and the others paid. */
-	it("of half as much again is paid by all kinds alike", async () => {
+	/* Guards against serving one kind whole at the others' cost. */
+	it("by 1.5 times the load affects all kinds alike", async () => {
 		const all = await replayAll({
 			jobsPerSecond: 97,
 			lengthMs: 8_000,
@@ -79,8 +77,8 @@
 		expect(leastOfBest("1.5 times the load", all)).to.be.at.least(LEAST_OF_BEST)
 	})
 
-	/* Nothing comes beyond the room; a forecast that refused here would be wrong. */
-	it("is not seen on a calm day", async () => {
+	/* Nothing exceeds the capacity here, so a refusal would be a wrong forecast. */
+	it("refuses nothing on a calm day", async () => {
 		const all = await replayAll({jobsPerSecond: 92, lengthMs: 6_000, troubles: []})
 		expect(mean(all, ({refused}) => refused)).to.be.lessThan(0.01)
 	})
--- a/packages/jobs/test/shared-caller.test.ts
+++ b/packages/jobs/test/shared-caller.test.ts
@@ -1,4 +1,4 @@
-/** A caller that comes back to the instance where its job is under way. */
+/** A caller that submits again at the instance where its job is in progress. */
 import {createSharedCaller, type Caller} from "@cottonwood/jobs"
 import {expect} from "chai"
 
@@ -16,7 +16,7 @@
 }
 
 describe("a shared caller", () => {
-	it("is over when the last one that came hangs up, not when one before it does", () => {
+	it("is cancelled when the latest connection closes, not when an earlier one does", () => {
 		const [first, second] = [createCaller(100), createCaller(200)]
 		const shared = createSharedCaller(first.caller)
 		let over = 0
@@ -27,10 +27,10 @@
 		second.hangUp()
 		expect(over).to.equal(1)
 		shared.onCancel(() => over++)
-		expect(over, "whoever asks later").to.equal(2)
+		expect(over, "a later listener").to.equal(2)
 	})
 
-	it("is wanted as of when the last one was heard", () => {
+	it("is confirmed as of when the latest connection was heard", () => {
 		const [first, second] = [createCaller(100), createCaller(200)]
 		const shared = createSharedCaller(first.caller)
 		expect(shared.confirmedAt()).to.equal(100)
--- a/packages/jobs/test/support/replay/replay-clock.ts
+++ b/packages/jobs/test/support/replay/replay-clock.ts
@@ -1,11 +1,9 @@
-/**
- * A clock that runs as fast as the processor allows: time jumps from one timer to the next.
- */
+/** A virtual clock whose time jumps from one timer to the next. */
 import type {Clock} from "@cottonwood/core"
 import TinyQueue from "tinyqueue"
 
 export interface ReplayClock extends Clock {
-	/** Runs everything that is due until then. */
+	/** Runs all timers due until that time. */
 	runUntil(at: number): Promise<void>
 }
 
@@ -16,7 +14,7 @@
 	isCancelled: boolean
 }
 
-/** Rounds of the loop in which what follows from a timer at the same instant is done. */
+/** Event loop rounds in which the effects of a timer at the same time are done. */
 const SETTLE_ROUNDS = 2
 
 async function settle() {
@@ -35,7 +33,7 @@
 		return () => void (timer.isCancelled = true)
 	}
 
-	/** Everything that is due at one instant, before anything that follows from it. */
+	/** Runs all timers due at one time before their effects. */
 	function runNext(at: number) {
 		now = at
 		for (let timer = timers.peek(); timer && timer.at <= at; timer = timers.peek()) {
--- a/packages/jobs/test/support/replay/replay-day.ts
+++ b/packages/jobs/test/support/replay/replay-day.ts
@@ -1,5 +1,6 @@
 /**
- * Replays a load with its troubles through the decisions, and says what callers got of it.
+ * Replays a load with faults through the placement decisions in virtual time, and returns what callers got. Used by the
+ * replay tests.
  */
 import {seededRandom} from "@cottonwood/standins"
 import {createReplayClock} from "./replay-clock.js"
@@ -17,15 +18,15 @@
 	readonly at: number
 	readonly forMs: number
 } &
-	/** So many times as many jobs come, of one kind or of all. */
+	/** `times` as many jobs arrive, of one kind or of all. */
 	(
 		| {readonly type: "surge"; readonly times: number; readonly kind?: string}
-		/** A share of the executors crashes; new lives come at the end. */
+		/** A share of the executors crashes; they restart at the end. */
 		| {readonly type: "crash"; readonly share: number}
-		/** Tasks on a share of the executors stand still. */
+		/** Tasks on a share of the executors make no progress. */
 		| {readonly type: "hang"; readonly share: number}
 		| {readonly type: "slow"; readonly share: number; readonly times: number}
-		/** A share of all orders is left unanswered and carried out late. */
+		/** A share of all orders gets no reply and is carried out late. */
 		| {readonly type: "late orders"; readonly share: number}
 		| {readonly type: "failing"; readonly share: number}
 		| {readonly type: "cut"; readonly failureDomain: string}
@@ -33,32 +34,32 @@
 	)
 
 export interface ReplayDay {
-	/** The earlier work by default. */
+	/** `EARLIER_WORK` by default. */
 	readonly work?: ReplayWork
 	readonly failureDomains?: readonly string[]
 	readonly executorsPerDomain?: number
 	readonly jobsPerSecond: number
-	/** How many times as many jobs come in each domain. */
+	/** Relative rate of jobs in each domain. */
 	readonly demand?: readonly number[]
-	/** Whole jobs leave their domain for so many milliseconds of forecast gain. */
+	/** Whole jobs move for a forecast gain of this many milliseconds. Absent: they stay. */
 	readonly crossDomainMs?: number
-	/** Callers reach instances that place nothing. */
+	/** Callers reach instances that place nothing themselves. */
 	readonly hasEntries?: boolean
 	readonly lengthMs: number
 	readonly troubles: readonly ReplayTrouble[]
-	/** How a domain's placer knows speeds; by default it learns them for itself. */
+	/** How a domain's executor speeds are stored; by default each placer learns them for itself. */
 	readonly keepSpeeds?: ReplayWorldOptions["keepSpeeds"]
 	/** Jobs are judged by forecasts. */
 	readonly isForecasting?: boolean
 	readonly shares?: ReplayShares
 }
 
-/** Credit earned of credit owed; a late answer earns a fifth. */
+/** Ratios of earned to possible credit; a late answer earns a fifth. */
 export interface ReplayFigures {
 	readonly whole: number
 	readonly kinds: Readonly<Record<string, number>>
 	readonly domains: Readonly<Record<string, number>>
-	/** By kind, the share of jobs that were answered with success while that was of use. */
+	/** By kind, the share of jobs with a successful and still useful answer. */
 	readonly served: Readonly<Record<string, number>>
 	readonly worstSeconds: number
 	/** Shares of jobs. */
@@ -66,12 +67,12 @@
 	readonly late: number
 	readonly refused: number
 	readonly failed: number
-	/** Worst kind, domain and seconds weighed with the whole: one figure to compare by. */
+	/** Weighted mean of the whole and of the worst kind, domain and seconds: one figure to compare by. */
 	readonly worth: number
 	readonly wastedCoreSeconds: number
 	readonly doubled: number
 	readonly overfilled: number
-	/** Whole jobs, and tasks, that another domain had. */
+	/** Whole jobs, and single tasks, that went to another domain. */
 	readonly movedJobs: number
 	readonly movedTasks: number
 }
@@ -79,7 +80,7 @@
 const LATE_SHARE = 0.2
 const USELESS_OBJECTIVES = 3
 const WINDOW_MS = 2_000
-/** Executors obey their placers and links are up. */
+/** Time for placers to connect to their executors. */
 const LEAD_MS = 1_000
 const TAIL_MS = 6_000
 const RETURN_LISTED_MS = 1_000
@@ -159,7 +160,7 @@
 	}
 }
 
-/** A share of the sound executors, at random. */
+/** A random share of the executors that are alive. */
 function pick(world: ReplayWorld, share: number, random: () => number): readonly ReplayExecutor[] {
 	const sound = world.executors.filter(({faults}) => !faults.isDead)
 	const chosen: ReplayExecutor[] = []
@@ -217,7 +218,7 @@
 	}
 }
 
-/** How many times as many jobs of a kind come at a time. */
+/** Factor on the rate of a kind of job at a time. */
 function surgeOf(troubles: readonly ReplayTrouble[]) {
 	return (at: number, kind: ReplayKind) =>
 		troubles.reduce((times, trouble) => {
@@ -227,7 +228,7 @@
 		}, 1)
 }
 
-/** Replays one seed of a day; the same seed gives the same jobs and troubles under any policy. */
+/** Replays one seed of a day. The same seed gives the same jobs and faults. */
 export async function replay(day: ReplayDay, seed: number): Promise<ReplayFigures> {
 	const clock = createReplayClock()
 	const {work = EARLIER_WORK, failureDomains = ["a", "b", "c"]} = day
--- a/packages/jobs/test/support/replay/replay-executor.ts
+++ b/packages/jobs/test/support/replay/replay-executor.ts
@@ -1,7 +1,7 @@
 /**
- * Executors in virtual time that keep the contract: fences, leases, run numbers, room that they guard, progress.
+ * Executors in virtual time that keep the executor contract: fences, leases, run numbers, capacity and progress.
  *
- * How long a run takes stands in its spec. Troubles switch an executor off, stop its work, or slow it down.
+ * A run's duration comes from its spec. Faults stop an executor, halt its tasks or slow them down.
  */
 import type {
 	ExecutorOrders,
@@ -17,11 +17,11 @@
 } from "@cottonwood/jobs"
 import type {ReplayClock} from "./replay-clock.js"
 
-/** What a replayed task's spec says. */
+/** The spec of a replayed task. */
 export interface ReplaySpec {
 	readonly cpu: number
 	readonly memoryMb: number
-	/** Run times of the tasks on the fastest kind of executor, by index. */
+	/** Run times of the tasks at slowness 1, by index. */
 	readonly workMs: readonly number[]
 }
 
@@ -36,19 +36,19 @@
 }
 
 interface Faults {
-	/** It neither hears nor answers, and what it runs is gone. */
+	/** Neither receives nor answers; its runs are lost. */
 	isDead: boolean
 	/** Tasks make no progress. */
 	isHanging: boolean
-	/** Tasks take so many times as long. */
+	/** Factor on the tasks' run times. */
 	slowness: number
-	/** This share of orders is left unanswered and carried out late. */
+	/** Share of orders that get no reply and are carried out late. */
 	lateShare: number
-	/** This share of runs fails. */
+	/** Share of runs that fail. */
 	failShare: number
 }
 
-/** One way between a placer and an executor of its domain, what both sides do with a call included. */
+/** One-way latency between a placer and an executor of its domain, with processing on both sides. */
 const WAY_MS = 0.6
 const LATE_MS = 300
 const STOP_MS = 5
@@ -68,7 +68,7 @@
 		lateShare: 0,
 		failShare: 0,
 	}
-	/** Room that was taken beyond what there is, seen at any start. */
+	/** Starts that would have exceeded the capacity. */
 	overfilled = 0
 	private readonly runs = new Map<string, Run>()
 	private readonly lastRun = new Map<string, number>()
@@ -82,11 +82,11 @@
 		readonly record: ExecutorRecord,
 		private readonly clock: ReplayClock,
 		private readonly random: () => number,
-		/** Told of each start and end, by task. */
+		/** Called for each start and end, by task. */
 		private readonly judge: {begin(task: string): void; end(task: string): void},
 	) {}
 
-	/** Core-milliseconds of work that ended without counting. */
+	/** Core-milliseconds of runs that ended without success. */
 	wasted = 0
 
 	setFault(change: Partial<Faults>) {
--- a/packages/jobs/test/support/replay/replay-load.ts
+++ b/packages/jobs/test/support/replay/replay-load.ts
@@ -1,6 +1,4 @@
-/**
- * The jobs of a replayed load: seeded arrivals of a few kinds, with run times that their estimates miss.
- */
+/** The jobs of a replayed load: seeded arrivals of a few kinds, with run times that differ from their estimates. */
 import type {Step} from "@cottonwood/jobs"
 import type {ReplaySpec} from "./replay-executor.js"
 import {SLACK_MS, STRETCH, type ReplayKind, type ReplayWork} from "./replay-work.js"
@@ -12,7 +10,7 @@
 	readonly at: number
 	readonly spec: string
 	readonly steps: readonly Step[]
-	/** By the run times that it really has. */
+	/** Based on the actual run times. */
 	readonly objectiveMs: number
 	readonly worth: number
 }
@@ -23,12 +21,12 @@
 const ESTIMATE_SPREAD = 0.4
 const CPU_SPREAD = 0.2
 
-/** A normal deviate, from two even ones. */
+/** A normal deviate from two uniform ones. */
 function normal(random: () => number): number {
 	return Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random())
 }
 
-/** Spread around a mean by this share, the mean kept. */
+/** A log-normal deviate with this mean and relative spread. */
 function spread(random: () => number, mean: number, share: number): number {
 	return mean * Math.exp(share * normal(random) - (share * share) / 2)
 }
@@ -74,18 +72,18 @@
 	readonly failureDomains: readonly string[]
 	readonly jobsPerSecond: number
 	readonly lengthMs: number
-	/** How many times as many jobs come in each domain as in the others; by default as many. */
+	/** Relative rate of jobs in each domain; 1 by default. */
 	readonly demand?: readonly number[]
-	/** How many times as many jobs of a kind come at a time. */
+	/** Factor on the rate of a kind of job at a time. */
 	readonly surge: (at: number, kind: ReplayKind) => number
 }
 
-/** The rate in a domain at a time, by its mean; each domain's wave has its own phase. */
+/** Factor on a domain's mean rate at a time; each domain has its own phase. */
 function waveOf({swing, swingPeriodMs}: ReplayWork, phase: number): (at: number) => number {
 	return at => 1 + swing * Math.sin(2 * Math.PI * (at / swingPeriodMs + phase))
 }
 
-/** Arrivals at rates that swing, and surge now and then, in order. */
+/** Draws the jobs of all domains, ordered by arrival. */
 export function drawJobs(arrivals: Arrivals, random: () => number): readonly ReplayJob[] {
 	const {work, failureDomains, jobsPerSecond, lengthMs, surge, demand} = arrivals
 	const jobs: ReplayJob[] = []
--- a/packages/jobs/test/support/replay/replay-work.ts
+++ b/packages/jobs/test/support/replay/replay-work.ts
@@ -1,9 +1,7 @@
-/**
- * The work and the executors of a replayed deployment: kinds of request, sizes of tasks and of executors, waves.
- */
+/** The work and the executors of a replayed deployment: kinds of job, sizes of tasks and executors, and waves of demand. */
 import type {Queue} from "@cottonwood/jobs"
 
-/** An objective is this many times a job's longest chain of work, and this much more. */
+/** A job's objective is `STRETCH` times its longest chain of work, plus `SLACK_MS`. */
 export const STRETCH = 1.6
 export const SLACK_MS = 60
 
@@ -16,7 +14,7 @@
 	readonly width: number
 	/** Run time of a task, on average. */
 	readonly workMs: number
-	/** What a job of average work earns when it is in time. */
+	/** Credit of a job of average work that is on time. */
 	readonly worth: number
 }
 
@@ -24,18 +22,21 @@
 	readonly kinds: readonly ReplayKind[]
 	readonly meanCpu: number
 	readonly maxCpu: number
-	/** Room of the executors of a domain, in turn, in thousandths of a core. */
+	/** Capacity of a domain's executors, in turn, in thousandths of a core. */
 	readonly roomCpu: readonly number[]
-	/** How many times as long tasks take there. */
+	/** Factor on the run times there. */
 	readonly slowness: readonly number[]
-	/** The rate of arrivals swings by this share around its mean, with a phase of its own in each domain. */
+	/** The arrival rate swings by this share around its mean, with an own phase in each domain. */
 	readonly swing: number
 	readonly swingPeriodMs: number
-	/** This share of tasks takes so many times as long as its job's work says; none by default. */
+	/** Share of tasks that take `times` as long as drawn; none by default. */
 	readonly tails?: {readonly share: number; readonly times: number}
 }
 
-/** Many short tasks, a few long ones, two of middle length: a third of the worth each. Two or three fit an executor. */
+/**
+ * Many short tasks, a few long ones and some of middle length, with a third of the credit each. Two or three fit an
+ * executor.
+ */
 export const EARLIER_WORK: ReplayWork = {
 	kinds: [
 		{name: "short", priority: 0, weight: 0.245, width: 8, workMs: 60, worth: 0.0291},
@@ -50,7 +51,7 @@
 	swingPeriodMs: 1,
 }
 
-/** More long tasks, and sizes of which two fit an executor every other time, in waves that move from domain to domain. */
+/** More long tasks, in sizes of which two fit an executor only every other time; waves move from domain to domain. */
 export const PAIRED_WORK: ReplayWork = {
 	kinds: [
 		{name: "short", priority: 0, weight: 0.236, width: 8, workMs: 60, worth: 0.00485},
@@ -65,7 +66,7 @@
 	swingPeriodMs: 11_000,
 }
 
-/** Executors of three speeds and two sizes, in waves, with long tails. */
+/** Executors of three speeds and two sizes, waves of demand, and tasks with long tails. */
 export const UNEVEN_WORK: ReplayWork = {
 	kinds: [
 		{name: "short", priority: 0, weight: 0.244, width: 8, workMs: 51, worth: 0.00485},
@@ -81,7 +82,7 @@
 	tails: {share: 0.03, times: 7},
 }
 
-/** One queue for each kind of request. */
+/** One queue for each kind of job. */
 export function queuesOf({kinds}: ReplayWork): readonly Queue[] {
 	return kinds.map(({name, priority}) => ({
 		name,
--- a/packages/jobs/test/support/replay/replay-world.ts
+++ b/packages/jobs/test/support/replay/replay-world.ts
@@ -1,6 +1,6 @@
 /**
- * Failure domains in virtual time: a placer each, driven by the product's own decisions, with links between
- * them, executors, and callers that wait for one answer.
+ * Failure domains in virtual time: one placer each, driven by the real decisions, with links between them, executors, and
+ * callers that wait for one answer.
  */
 import {
 	createJobMetrics,
@@ -39,15 +39,15 @@
 import type {ReplayJob} from "./replay-load.js"
 import {queuesOf, type ReplayWork} from "./replay-work.js"
 
-/** One way between two instances, and what both sides do with a message. */
+/** One-way latency between two instances, with processing on both sides. */
 const PEER_WAY_MS = 1.2
-/** One way between a caller and its instance. */
+/** One-way latency between a caller and its instance. */
 const CALLER_WAY_MS = 3.5
 const DEADLINE_MS = 1_500
-/** Between two confirmations that a call is still wanted. */
+/** Interval of a call's confirmations. */
 const CONFIRM_MS = 100
 const CONFIG_VERSION = 1
-/** Of the instance that callers reach, before its failure domain. */
+/** Prefix of a failure domain's name in the id of the instance that its callers reach. */
 const ENTRY_PREFIX = "entry:"
 
 export type ReplayShares = Readonly<
@@ -60,32 +60,35 @@
 	readonly executorsPerDomain: number
 	readonly clock: ReplayClock
 	readonly random: () => number
-	/** Makes what keeps the speeds of a domain's executors; without it each placer learns for itself. */
+	/** Creates the store of a domain's executor speeds; without it each placer learns for itself. */
 	readonly keepSpeeds?: (clock: ReplayClock, executors: readonly ReplayExecutor[]) => SpeedStore
 	/** Jobs are judged by forecasts. */
 	readonly isForecasting?: boolean
 	/** Weights and floors, by kind. */
 	readonly shares?: ReplayShares
-	/** Whole jobs go to where they are forecast to start sooner by so much; undefined: only tasks leave their domain. */
+	/**
+	 * Whole jobs move to where they are forecast to start this much sooner, in milliseconds; undefined: only single tasks
+	 * leave their domain.
+	 */
 	readonly crossDomainMs?: number
-	/** Callers reach an instance of their domain that places nothing, as most do where instances are many. */
+	/** Callers reach an instance of their domain that places nothing, as with many instances. */
 	readonly hasEntries?: boolean
 }
 
 export interface ReplayWorld {
 	readonly executors: readonly ReplayExecutor[]
-	/** Hands a job in at its domain's instance; resolves with its end and the time to its answer. */
+	/** Submits a job at its domain's instance; resolves with its end and the time to its answer. */
 	submit(job: ReplayJob): Promise<{readonly end: JobEnd; readonly tookMs: number}>
-	/** Links between this domain and the others carry nothing. */
+	/** Cuts the links between this domain and the others, or restores them. */
 	setCut(failureDomain: string, isCut: boolean): void
-	/** Operators empty a domain, or take it back. */
+	/** Starts or ends a domain's evacuation. */
 	setEvacuated(failureDomain: string, isEvacuated: boolean): void
-	/** A domain's executors by the list: what is dead is missing after a while. */
+	/** Adds an executor to its domain's list, or removes it. */
 	setListed(executor: ReplayExecutor, isListed: boolean): void
-	/** Another life of an executor at the same place. */
+	/** Restarts an executor with a new id in the same domain. */
 	replace(executor: ReplayExecutor): ReplayExecutor
 	counters(): Promise<string>
-	/** Tasks that ran twice at the same time. */
+	/** Tasks that ran twice at once. */
 	readonly doubled: readonly string[]
 }
 
@@ -155,7 +158,7 @@
 		return a !== b && (cut.has(a) || cut.has(b))
 	}
 
-	/** A call over a link: nothing comes back while either side is cut off. */
+	/** A call over a link, which carries nothing while either side is cut off. */
 	function call<T>(
 		from: string,
 		to: string,
@@ -168,7 +171,7 @@
 		let heardAt = confirmedAt()
 		let isOver = false
 
-		/** The other side is told as of when the call is wanted, again and again. */
+		/** Confirms the call to the other side again and again. */
 		function confirm() {
 			if (isOver) return
 			if (!isApart(from, to)) heardAt = confirmedAt()
--- a/packages/jobs/test/support/requests.ts
+++ b/packages/jobs/test/support/requests.ts
@@ -41,14 +41,14 @@
 	maxLeaseMs: 1_000,
 })
 
-/** A caller that stays, and is heard all the time. */
+/** A caller that stays connected and always confirms. */
 export const STAYING: Caller = {
 	onCancel: () => undefined,
 	madeAt: Infinity,
 	confirmedAt: () => Infinity,
 }
 
-/** A service that is never asked. */
+/** An advisor that must not be asked. */
 export const NO_ADVISOR: Advisor = {
 	ask: () => Promise.reject(new Error("no advice was needed")),
 }
--- a/packages/jobs/test/support/sliced-domain.ts
+++ b/packages/jobs/test/support/sliced-domain.ts
@@ -1,6 +1,6 @@
 /**
- * One failure domain on a fake clock: several instances with their real claims, handovers, beats, placers and coordinators,
- * one store, and executors that obey the highest fence. Anything that happens to an instance is brought about by name.
+ * One failure domain on a fake clock: several instances with their real claims, handovers, heartbeats, placers and
+ * dispatchers, one store, and executors that obey the highest fence. Faults are injected by instance name.
  */
 import type {TransactionalStore} from "@cottonwood/core"
 import {
@@ -44,13 +44,13 @@
 
 const DOMAIN = "a"
 const WAY_MS = 1
-/** The store's news reach an instance within this. */
+/** Interval at which an instance reads the store's changes. */
 const NEWS_MS = 20
 const PING_TIMEOUT_MS = 350
-/** Two tasks of this fill an executor. */
+/** Two tasks of this size fill an executor. */
 const NEED = {cpu: 27_000, memoryMb: 64, accelerators: 0}
 const TASKS_PER_EXECUTOR = 2
-/** Executors here tell no progress; what ends within 0.6 of its estimate does not count as stuck. */
+/** These executors report no progress; a run that ends within 0.6 of its estimate doesn't count as stuck. */
 const ESTIMATE_MS = 3_000
 const WORK_MS = 1_200
 const CPU_SHARE = 0.675
@@ -63,13 +63,13 @@
 	readonly handover: Handover
 	readonly dispatcher: Dispatcher
 	readonly view: ReturnType<typeof createFleetView>
-	/** What befell it. */
+	/** Its state and faults. */
 	readonly is: {
 		dead: boolean
 		leaving: boolean
 		cutFromStore: boolean
 		cutFromPeers: boolean
-		/** Answers to its calls are lost. */
+		/** Replies to its calls are lost. */
 		deaf: boolean
 	}
 }
@@ -103,7 +103,7 @@
 	const runningCount = () =>
 		[...executors.values()].reduce((sum, {running}) => sum + running.size, 0)
 
-	/** Carries starts out with their work, and notes what must never be seen. */
+	/** Orders to the executors that end each run after its work, and record faults. */
 	function ordersOf(is: Instance["is"]): ExecutorOrders {
 		const sound = ordersTo(id => executors.get(id) as LeasedExecutor)
 		const never = new Promise<never>(() => undefined)
@@ -293,15 +293,15 @@
 		fake,
 		records,
 		executors,
-		/** What must never happen and did. */
+		/** Violations of what must always hold. */
 		faults,
-		/** How the jobs that were handed in ended so far. */
+		/** How the submitted jobs have ended so far. */
 		ends,
 		at,
 		runningCount,
 		addExecutors,
 		addInstance,
-		/** Hands jobs in, one at each living instance in turn; returns a list that tells how they end. */
+		/** Submits jobs at the running instances in turn; returns a list that receives how they end. */
 		submit(count: number): readonly JobEnd["type"][] {
 			const batch: JobEnd["type"][] = []
 			const living = [...instances.values()].filter(({is}) => !is.dead && !is.leaving)
@@ -323,17 +323,17 @@
 			}
 			return batch
 		},
-		/** Of a slice's claim by the store. */
+		/** The fence of a slice's claim in the store. */
 		fenceOf: (name: string) => (fake.items.get(claimKey(name))?.value as Claim | undefined)?.fence,
-		/** How many starts were carried out. */
+		/** How many runs the executors have started. */
 		startCount: () => [...executors.values()].reduce((sum, {started}) => sum + started.length, 0),
-		/** The names of the placers by the store, slice by slice. */
+		/** The names of the placers in the store, by slice. */
 		placers: () =>
 			sliceNames(DOMAIN, 9).flatMap(name => {
 				const claim = fake.items.get(claimKey(name))?.value as Claim | undefined
 				return claim ? [claim.placer.name] : []
 			}),
-		/** How many executors each instance has links to that nobody else may use. */
+		/** The ids of the executors that an instance's placers use. */
 		placed: (name: string) =>
 			sliceNames(DOMAIN, 9).flatMap(slice =>
 				at(name)
