--- a/packages/jobs/src/coordinate/admission.ts
+++ b/packages/jobs/src/coordinate/admission.ts
@@ -38,16 +38,16 @@
 import type {Job, JobEnd} from "../types/job.js"
 import type {EventLog} from "../utils/log.js"
 import type {JobMetrics} from "../utils/metrics.js"
-import {demandOf, lastStartOfUse, workOf} from "./demand.js"
+import {demandOf, latestUsefulStart, jobWork} from "./demand.js"
 import {latestStartOnTime, objectiveMsOf, type JobRun} from "./job-run.js"
 import {createRefusal, type Refusal} from "./refusals.js"
 import {createUnstartedJobs, type UnstartedJob} from "./unstarted-jobs.js"
 
 /** A reading of load and shares is reused for this long. */
-const READING_AGE_MS = 10
+const READING_VALID_MS = 10
 /** Interval between checks of unstarted jobs, which start at the end of their order. */
-const SWEEP_MS = 25
-const LOOKED_AT = 16
+const CHECK_INTERVAL_MS = 25
+const MAX_CHECKED = 16
 
 export interface AdmissionDeps {
 	readonly clock: Clock
@@ -73,7 +73,7 @@
 	readonly load: PlacerLoad
 	readonly shares: ReadonlyMap<string, Share>
 	/** Recently requested work divided by what the usable executors can do. */
-	readonly askedOfRoom: number
+	readonly requestedRatio: number
 }
 
 export function createAdmission(deps: AdmissionDeps): Admission {
@@ -83,24 +83,24 @@
 	const corrections = new Map<string, number>()
 	const unstarted = createUnstartedJobs()
 	let reading: Reading | undefined
-	let cancelSweep: (() => void) | undefined
+	let cancelCheck: (() => void) | undefined
 
 	function read(): Reading {
 		const now = clock.now()
-		if (reading && now - reading.at < READING_AGE_MS) return reading
+		if (reading && now - reading.at < READING_VALID_MS) return reading
 		const load = placer.load()
 		const shares = sharesOf(deps.queues(), work, now)
-		let asked = 0
-		for (const one of work.values()) asked += decayed(one, now).requested
+		let requested = 0
+		for (const one of work.values()) requested += decayed(one, now).requested
 		const room = capacityOver(DECAY_MS, load)
-		reading = {at: now, load, shares, askedOfRoom: room === 0 ? Infinity : asked / room}
+		reading = {at: now, load, shares, requestedRatio: room === 0 ? Infinity : requested / room}
 		return reading
 	}
 
 	const shareOf = ({name}: Queue) => read().shares.get(name) ?? EVEN_SHARE
 
-	function count({name}: Queue, asked: number, served: number) {
-		setBounded(work, name, addWork(work.get(name) ?? NO_WORK, clock.now(), asked, served))
+	function count({name}: Queue, requested: number, served: number) {
+		setBounded(work, name, addWork(work.get(name) ?? NO_WORK, clock.now(), requested, served))
 	}
 
 	/** `ownWork`: the part of the job's own work that is already queued, in core-milliseconds. */
@@ -113,17 +113,17 @@
 		})
 	}
 
-	function askedBy(job: Job, queue: Queue, told: Forecast, startBy: number): AdmissionInput {
-		const {load, askedOfRoom} = read()
+	function inputFor(job: Job, queue: Queue, told: Forecast, startBy: number): AdmissionInput {
+		const {load, requestedRatio} = read()
 		const now = clock.now()
 		const lateWork = unstarted.lateWork()
 		return {
 			forecast: told,
 			backlogMs: drainMs(Math.max(0, placer.work() - lateWork), load),
 			slackMs: startBy - now,
-			usefulMs: lastStartOfUse(job, queue) - now,
+			usefulMs: latestUsefulStart(job, queue) - now,
 			share: shareOf(queue),
-			requestedRatio: askedOfRoom,
+			requestedRatio,
 			lateBacklogMs: drainMs(lateWork, load),
 		}
 	}
@@ -132,7 +132,7 @@
 	 * Whether the job finds room at once. Queued jobs may need more room at a time than is free, so this job delays none of
 	 * them.
 	 */
-	function fitsNow(job: Job, {service}: Queue): boolean {
+	function hasRoomNow(job: Job, {service}: Queue): boolean {
 		const [first] = job.steps
 		if (!first || read().load.freeCores < demandOf(job).cores) return false
 		return placer.hasRoomFor(first, service)
@@ -159,9 +159,9 @@
 	/** Refuses a queued job of a queue above its share, so that the newcomer can be admitted. */
 	function makeRoomFor(job: Job, queue: Queue, {slackMs, share}: AdmissionInput): boolean {
 		const now = clock.now()
-		const newcomer = {slackMs, share, work: workOf(job)}
+		const newcomer = {slackMs, share, work: jobWork(job)}
 		const waiting = unstarted
-			.last(LOOKED_AT)
+			.last(MAX_CHECKED)
 			.filter(({isLate}) => !isLate)
 			.map(item => ({
 				item,
@@ -175,32 +175,32 @@
 		return true
 	}
 
-	function sweep() {
-		cancelSweep = undefined
-		if (!placer.isStartingUp()) refuseWhatTurnedBad()
-		sweepSoon()
+	function checkUnstarted() {
+		cancelCheck = undefined
+		if (!placer.isStartingUp()) refuseWorsened()
+		scheduleCheck()
 	}
 
-	function refuseWhatTurnedBad() {
-		for (const item of [...unstarted.last(LOOKED_AT)].reverse()) {
+	function refuseWorsened() {
+		for (const item of [...unstarted.last(MAX_CHECKED)].reverse()) {
 			const {job, queue, startBy, isLate} = item
 			const told = forecast(job, isLate ? Infinity : startBy, item.work)
-			if (shouldKeepWaiting(askedBy(job, queue, told, startBy))) continue
-			noteWait(item)
+			if (shouldKeepWaiting(inputFor(job, queue, told, startBy))) continue
+			recordWait(item)
 			refuse(item, told.startInMs === Infinity ? "no_executor" : "turned_bad", told)
 		}
 	}
 
-	function sweepSoon() {
-		if (cancelSweep || unstarted.size() === 0) return
-		cancelSweep = clock.schedule(SWEEP_MS, sweep)
+	function scheduleCheck() {
+		if (cancelCheck || unstarted.size() === 0) return
+		cancelCheck = clock.schedule(CHECK_INTERVAL_MS, checkUnstarted)
 	}
 
 	/**
 	 * Records the forecast error once all first tasks have started or the job is refused, and corrects later forecasts of
 	 * the queue.
 	 */
-	function noteWait({queue, takenAt, told, isLate}: UnstartedJob) {
+	function recordWait({queue, takenAt, told, isLate}: UnstartedJob) {
 		const waitedMs = clock.now() - takenAt
 		const errorMs = waitedMs - told.startInMs
 		if (!Number.isFinite(errorMs)) return
@@ -219,8 +219,8 @@
 		if (end.type !== "completed" || !isInTime) count(queue, 0, -item.work)
 	}
 
-	function take(job: Job, queue: Queue): "in time" {
-		const size = workOf(job)
+	function admit(job: Job, queue: Queue): "in time" {
+		const size = jobWork(job)
 		count(queue, size, size)
 		return "in time"
 	}
@@ -228,31 +228,31 @@
 	return {
 		assess(job, queue) {
 			// A placer that has just begun gets its executors within milliseconds; a short wait beats a refusal.
-			if (placer.isStartingUp()) return take(job, queue)
+			if (placer.isStartingUp()) return admit(job, queue)
 			const startBy = latestStartOnTime(job, queue)
 			const told = forecast(job, startBy, 0)
-			const asked = askedBy(job, queue, told, startBy)
-			const verdict = decideAdmission(asked)
-			if (verdict.type === "admitted" || fitsNow(job, queue)) return take(job, queue)
-			if (verdict.type === "refused" && makeRoomFor(job, queue, asked)) return take(job, queue)
-			count(queue, workOf(job), 0)
+			const input = inputFor(job, queue, told, startBy)
+			const verdict = decideAdmission(input)
+			if (verdict.type === "admitted" || hasRoomNow(job, queue)) return admit(job, queue)
+			if (verdict.type === "refused" && makeRoomFor(job, queue, input)) return admit(job, queue)
+			count(queue, jobWork(job), 0)
 			if (verdict.type === "late") return "late"
 			return refusal(job, queue, verdict.reason, told, verdict.roomInMs)
 		},
 		follow(job, queue, run, isLate) {
-			const startBy = isLate ? lastStartOfUse(job, queue) : latestStartOnTime(job, queue)
-			const size = workOf(job)
+			const startBy = isLate ? latestUsefulStart(job, queue) : latestStartOnTime(job, queue)
+			const size = jobWork(job)
 			const told = forecast(job, startBy, size)
 			const takenAt = clock.now()
 			const item: UnstartedJob = {job, queue, run, startBy, isLate, takenAt, told, work: size}
 			unstarted.add(item)
-			sweepSoon()
+			scheduleCheck()
 			run.onStart(
 				() => void unstarted.remove(item),
-				() => noteWait(item),
+				() => recordWait(item),
 			)
 			void run.ended.then(end => noteEnd(item, end))
 		},
-		close: () => cancelSweep?.(),
+		close: () => cancelCheck?.(),
 	}
 }
--- a/packages/jobs/src/coordinate/arrival.ts
+++ b/packages/jobs/src/coordinate/arrival.ts
@@ -7,10 +7,10 @@
 import type {Caller, Job} from "../types/job.js"
 
 /** A call that may have waited unread for this long counts as earlier for its objective too, not only for its deadline. */
-const UNREAD_MS = 200
+const LONG_UNREAD_MS = 200
 
 /** Another placer's task request, in times of this process. */
-export function requestOf(message: TaskMessage, {madeAt, confirmedAt}: Caller): TaskRequest {
+export function receivedRequest(message: TaskMessage, {madeAt, confirmedAt}: Caller): TaskRequest {
 	return {
 		...message.task,
 		askedBy: message.from,
@@ -25,10 +25,10 @@
 /**
  * Dates a job back by the time that its call may have waited unread, so that nothing runs for a caller that has given up.
  */
-export function sinceArrival(job: Job, {madeAt}: Caller): Job {
+export function datedBack(job: Job, {madeAt}: Caller): Job {
 	const {receivedAt, deadlineAt} = job
 	const unreadMs = Math.max(0, receivedAt - madeAt)
-	const isLate = unreadMs >= UNREAD_MS
+	const isLate = unreadMs >= LONG_UNREAD_MS
 	return {
 		...job,
 		receivedAt: isLate ? receivedAt - unreadMs : receivedAt,
@@ -37,6 +37,6 @@
 }
 
 /** Limits the caller's confirmations to the job's deadline. */
-export function untilDeadline(caller: Caller, {deadlineAt}: Job): Caller {
+export function limitedToDeadline(caller: Caller, {deadlineAt}: Job): Caller {
 	return {...caller, confirmedAt: () => Math.min(deadlineAt, caller.confirmedAt())}
 }
--- a/packages/jobs/src/coordinate/candidates.ts
+++ b/packages/jobs/src/coordinate/candidates.ts
@@ -10,7 +10,7 @@
 import type {HostedPlacers} from "./hosted-placers.js"
 
 /** A placer that has been silent this long gets no new jobs: three heartbeats. */
-const PLACER_QUIET_MS = 650
+const PLACER_SILENT_MS = 650
 /**
  * A placer with open calls confirms them every 100 ms. After three missed confirmations new jobs go to others: a job sent
  * to a lost machine may not be tried again.
@@ -34,9 +34,9 @@
 	/** Whether there is any candidate; doesn't advance the rotation. */
 	hasCandidates(): boolean
 	/** Whether nothing is known of the placer's state. It may be cut off, so it is asked last. */
-	isUntold(claim: Claim): boolean
+	isStateUnknown(claim: Claim): boolean
 	/** Whether every failure domain that has a placer is being evacuated. */
-	areAllEmptied(): boolean
+	areAllEvacuated(): boolean
 }
 
 export function createCandidates(deps: CandidatesDeps): Candidates {
@@ -47,67 +47,68 @@
 	let sliceTurn = 0
 
 	const isOwn = ({placer}: Claim) => placer.session === self.session
-	const isOpen = ({failureDomain}: Claim) => !isEvacuated(failureDomain)
-	const isOwnDomainEmptied = () => isEvacuated(self.failureDomain)
+	const isUsable = ({failureDomain}: Claim) => !isEvacuated(failureDomain)
+	const isOwnDomainEvacuated = () => isEvacuated(self.failureDomain)
 
-	function isNear({session}: Member): boolean {
-		return view.silentMs(session) < PLACER_QUIET_MS && !view.isUnreachable(session)
+	function isResponding({session}: Member): boolean {
+		return view.silentMs(session) < PLACER_SILENT_MS && !view.isUnreachable(session)
 	}
 
-	function isHeard(claim: Claim): boolean {
-		if (!isOwn(claim)) return isNear(claim.placer) && !view.isLeaving(claim.placer.session)
+	function isAvailable(claim: Claim): boolean {
+		if (!isOwn(claim)) return isResponding(claim.placer) && !view.isLeaving(claim.placer.session)
 		const host = hosts.of(claim.failureDomain)
 		return host !== undefined && (host.placer.canServe() || host.placer.isStartingUp())
 	}
 
 	/** Whether the placer's connection is alive too, which shows a lost machine earlier than missing heartbeats do. */
-	function isAnswering(claim: Claim): boolean {
+	function isConnected(claim: Claim): boolean {
 		const {placer} = claim
-		if (isOwn(claim)) return isHeard(claim)
+		if (isOwn(claim)) return isAvailable(claim)
 		const isQuiet =
 			peers.quietMs(placer.address) >= STREAM_QUIET_MS + latenessAllowanceMs(deps, placer)
-		return isHeard(claim) && !isQuiet
+		return isAvailable(claim) && !isQuiet
 	}
 
 	/** A leaving placer that hasn't found a successor yet; the only choice when nobody else is heard. */
 	function isLeavingPlacer({placer}: Claim): boolean {
-		return isNear(placer) && view.isLeaving(placer.session)
+		return isResponding(placer) && view.isLeaving(placer.session)
 	}
 
 	/** Whether a newer session is known under the same instance name. */
-	function isFollowed({name, session}: Member): boolean {
+	function isSuperseded({name, session}: Member): boolean {
 		const isLater = (member: Member) => member.name === name && member.session !== session
 		return isLater(self) || view.members().some(isLater)
 	}
 
-	function isUntold(claim: Claim): boolean {
+	function isStateUnknown(claim: Claim): boolean {
 		const {placer} = claim
-		return !isOwn(claim) && view.isUnknown(placer.session) && !isFollowed(placer)
+		return !isOwn(claim) && view.isUnknown(placer.session) && !isSuperseded(placer)
 	}
 
 	/** While the own failure domain is evacuated, placers of others are candidates before their first heartbeat. */
-	function isRefuge(claim: Claim): boolean {
+	function isEvacuationTarget(claim: Claim): boolean {
 		const {placer} = claim
-		if (!isOwnDomainEmptied() || isOwn(claim)) return false
-		return !view.isUnreachable(placer.session) && !isFollowed(placer)
+		if (!isOwnDomainEvacuated() || isOwn(claim)) return false
+		return !view.isUnreachable(placer.session) && !isSuperseded(placer)
 	}
 
 	function ranked(claims: readonly Claim[]): readonly Claim[] {
 		const order = (claim: Claim) => {
-			if (isHome(claim)) return 0
+			if (isInOwnDomain(claim)) return 0
 			return isOwn(claim) ? 1 : 2
 		}
 		return [...claims].sort((a, b) => order(a) - order(b) || waitingWork(a) - waitingWork(b))
 	}
 
-	const isHome = ({failureDomain}: Claim) => failureDomainOf(failureDomain) === self.failureDomain
+	const isInOwnDomain = ({failureDomain}: Claim) =>
+		failureDomainOf(failureDomain) === self.failureDomain
 
 	/**
 	 * Compares two of the own domain's slices in rotation; if all jobs went to the least busy one, it would soon be the
 	 * busiest.
 	 */
-	function sliceFirst(claims: readonly Claim[]): readonly Claim[] {
-		const slices = claims.filter(isHome)
+	function withSliceFirst(claims: readonly Claim[]): readonly Claim[] {
+		const slices = claims.filter(isInOwnDomain)
 		const [one, two] = [slices[sliceTurn % slices.length], slices[(sliceTurn + 1) % slices.length]]
 		if (!one || !two || one === two) return ranked(claims)
 		sliceTurn++
@@ -123,16 +124,16 @@
 	const waitingWork = ({failureDomain}: Claim) => view.roomOf(failureDomain)?.room.waitingWork ?? 0
 
 	/** Kinds of candidates, best first. */
-	const kinds = [isAnswering, isHeard, isLeavingPlacer, isUntold, isRefuge]
+	const kinds = [isConnected, isAvailable, isLeavingPlacer, isStateUnknown, isEvacuationTarget]
 
 	function hasCandidates(): boolean {
-		const open = view.claims().filter(isOpen)
+		const open = view.claims().filter(isUsable)
 		return kinds.some(isWanted => open.some(isWanted))
 	}
 
 	/** The claims of the best kind that has any. */
 	function bestClaims(): readonly Claim[] {
-		const open = view.claims().filter(isOpen)
+		const open = view.claims().filter(isUsable)
 		for (const isWanted of kinds) {
 			const found = open.filter(isWanted)
 			if (found.length > 0) return found
@@ -141,16 +142,16 @@
 	}
 
 	/** Spreads the callers of an evacuated domain over the others in rotation. */
-	function inTurn(claims: readonly Claim[]): readonly Claim[] {
-		if (claims.length === 0 || !isOwnDomainEmptied()) return claims
+	function rotated(claims: readonly Claim[]): readonly Claim[] {
+		if (claims.length === 0 || !isOwnDomainEvacuated()) return claims
 		turn = (turn + 1) % claims.length
 		return [...claims.slice(turn), ...claims.slice(0, turn)]
 	}
 
 	return {
-		candidates: () => inTurn(sliceFirst(bestClaims())),
+		candidates: () => rotated(withSliceFirst(bestClaims())),
 		hasCandidates,
-		isUntold,
-		areAllEmptied: () => view.claims().length > 0 && !view.claims().some(isOpen),
+		isStateUnknown,
+		areAllEvacuated: () => view.claims().length > 0 && !view.claims().some(isUsable),
 	}
 }
--- a/packages/jobs/src/coordinate/demand.ts
+++ b/packages/jobs/src/coordinate/demand.ts
@@ -7,7 +7,7 @@
 const MILLICORES = 1_000
 
 /** Core-milliseconds of all its tasks, by the estimates. */
-export const workOf = ({steps}: Job) =>
+export const jobWork = ({steps}: Job) =>
 	steps.reduce((sum, {count, need, estimateMs}) => sum + count * need.cpu * estimateMs, 0) /
 	MILLICORES
 
@@ -18,5 +18,5 @@
 }
 
 /** The latest start with which the job's answer can still be of use, in milliseconds on the monotonic clock. */
-export const lastStartOfUse = (job: Job, queue: Queue) =>
+export const latestUsefulStart = (job: Job, queue: Queue) =>
 	job.receivedAt + answerUsefulMs(job, queue) - criticalPathMs(job.steps)
--- a/packages/jobs/src/coordinate/dispatcher.ts
+++ b/packages/jobs/src/coordinate/dispatcher.ts
@@ -12,7 +12,7 @@
 import type {Caller, Job, JobEnd} from "../types/job.js"
 import {shortSession, type EventLog} from "../utils/log.js"
 import {outcomeUnknown, type LostAtPlacer, type RescheduleLostJob} from "./lost-job-rescheduler.js"
-import {requestOf, sinceArrival, untilDeadline} from "./arrival.js"
+import {receivedRequest, datedBack, limitedToDeadline} from "./arrival.js"
 import type {HostedPlacers} from "./hosted-placers.js"
 import type {MovedJob} from "./moved-job.js"
 import {createCandidates} from "./candidates.js"
@@ -24,13 +24,13 @@
 /** Maximum number of slices asked per failure domain; the second one shows whether the whole domain is full. */
 const MAX_SLICES_TRIED = 2
 /** A job that was refused for the backlog later than this after its arrival isn't tried elsewhere. */
-const ELSEWHERE_MS = 25
+const MAX_BACKLOG_REFUSAL_AGE_MS = 25
 /** A placer is expected to appear within this time after the start of the process or a change of the claim. */
-const BEGINNING_MS = 1_000
+const STARTUP_MS = 1_000
 /** Interval between looks for a placer while there is none. */
 const PLACER_POLL_MS = 10
 /** Wait before asking again when the placers asked don't place yet; they are busy starting. */
-const ASKED_AGAIN_MS = 50
+const ASK_AGAIN_MS = 50
 /** An answer is awaited this long beyond the job's deadline. */
 const ANSWER_SLACK_MS = 400
 
@@ -73,7 +73,7 @@
 }
 
 /** Log fields on the placer that was asked. The age of the last message is only meaningful for other instances. */
-function whoIsAsked({view, self}: DispatcherDeps, {placer, fence, failureDomain}: Claim) {
+function placerFields({view, self}: DispatcherDeps, {placer, fence, failureDomain}: Claim) {
 	const isOwn = placer.session === self.session
 	const silentMs = isOwn ? Infinity : Math.round(view.silentMs(placer.session))
 	return {
@@ -87,19 +87,21 @@
 }
 
 /** The end of a job that its placer moves to a target that can't be used. */
-const NOWHERE: JobEnd = {
+const INVALID_MOVE: JobEnd = {
 	type: "refused",
 	kind: "no_capacity",
 	cause: "its placer sent it nowhere",
 }
 
-type Unbegun = JobMove | {readonly type: "unsent" | "not placer"}
+type NotStarted = JobMove | {readonly type: "unsent" | "not placer"}
 
 /** The placer asked hasn't started the job and won't. */
-const isUnbegun = (end: JobReply | LostAtPlacer | {readonly type: "unsent"}): end is Unbegun =>
+const isNotStarted = (
+	end: JobReply | LostAtPlacer | {readonly type: "unsent"},
+): end is NotStarted =>
 	end.type === "unsent" || end.type === "not placer" || end.type === "elsewhere"
 /** Result of asking placers in turn. No end: the job hasn't started, and no placer refused it. */
-interface Asked {
+interface AskResult {
 	readonly end: JobEnd | LostAtPlacer | undefined
 	readonly wasAnyAsked: boolean
 }
@@ -112,18 +114,18 @@
  * Whether another placer may still take a refused job. A refusal by forecast arrives early enough for that while the job
  * can still be on time.
  */
-function mayGoElsewhere(job: Job, queue: Queue, {retryAfterMs}: Refusal, now: number): boolean {
+function mayTryElsewhere(job: Job, queue: Queue, {retryAfterMs}: Refusal, now: number): boolean {
 	if (retryAfterMs !== undefined) return now < latestStartOnTime(job, queue)
-	return now - job.receivedAt <= ELSEWHERE_MS
+	return now - job.receivedAt <= MAX_BACKLOG_REFUSAL_AGE_MS
 }
 
 export function createDispatcher(deps: DispatcherDeps): Dispatcher {
 	const {clock, log, view, self, peers, hosts} = deps
 	const startedAt = clock.now()
 	let workCount = 0
-	const {candidates, hasCandidates, isUntold, areAllEmptied} = createCandidates(deps)
+	const {candidates, hasCandidates, isStateUnknown, areAllEvacuated} = createCandidates(deps)
 
-	async function counted<T>(work: Promise<T>): Promise<T> {
+	async function trackWork<T>(work: Promise<T>): Promise<T> {
 		workCount++
 		try {
 			return await work
@@ -146,7 +148,7 @@
 		}
 	}
 
-	async function runThere(
+	async function runRemotely(
 		claim: Claim,
 		job: Job,
 		queue: Queue,
@@ -167,16 +169,16 @@
 			noteUnsent(view, claim.placer, call)
 			return {type: "unsent"}
 		}
-		const wantedAt = call.lastConfirmedAt?.() ?? Infinity
-		return {type: "lost", cause: `${claim.placer.name} is silent`, lastConfirmedAt: wantedAt}
+		const lastConfirmedAt = call.lastConfirmedAt?.() ?? Infinity
+		return {type: "lost", cause: `${claim.placer.name} is silent`, lastConfirmedAt}
 	}
 
 	/** Whether the job may wait for a placer: shortly after a start or a change of placer one appears soon. */
 	function mayWaitForPlacer(job: Job, queue: Queue): boolean {
 		const now = clock.now()
-		const isBeginning =
-			now - startedAt < BEGINNING_MS || view.claimAgeMs(self.failureDomain) < BEGINNING_MS
-		return isBeginning && now < latestStartOnTime(job, queue)
+		const isPlacerExpected =
+			now - startedAt < STARTUP_MS || view.claimAgeMs(self.failureDomain) < STARTUP_MS
+		return isPlacerExpected && now < latestStartOnTime(job, queue)
 	}
 
 	/** The target of a move, or else the next placer that hasn't been tried. */
@@ -187,7 +189,7 @@
 		const isNext = ({failureDomain: name}: Claim) =>
 			!tried.has(name) && countOf(domains, failureDomainOf(name)) < MAX_SLICES_TRIED
 		const claim = candidates().find(isNext)
-		return claim && wasRefused && isUntold(claim) ? undefined : claim
+		return claim && wasRefused && isStateUnknown(claim) ? undefined : claim
 	}
 
 	async function ask(claim: Claim, job: Job, queue: Queue, caller: Caller, moved?: MovedJob) {
@@ -195,12 +197,12 @@
 		const host = hosts.of(claim.failureDomain)
 		const reply = host
 			? await hosts.run(host, asked, queue, caller)
-			: await runThere(claim, asked, queue, caller)
+			: await runRemotely(claim, asked, queue, caller)
 		const outcome = reply.type === "lost" ? "given up" : reply.type
-		noteTry(job, claim, outcome)
+		logAnswer(job, claim, outcome)
 		moved?.noteOutcome(claim, outcome)
 		if (reply.type !== "elsewhere" || moved?.accept(claim, reply)) return reply
-		return NOWHERE
+		return INVALID_MOVE
 	}
 
 	/** Asks placers until one has started or refused the job; waits for a placer where that is likely to help. */
@@ -213,9 +215,9 @@
 		for (;;) {
 			const {end, wasAnyAsked} = await askInTurn(job, queue, caller, moved)
 			if (end) return end
-			if (areAllEmptied()) return noCapacity("all failure domains are emptied")
+			if (areAllEvacuated()) return noCapacity("all failure domains are emptied")
 			if (!mayWaitForPlacer(job, queue)) return noCapacity("no placer can be reached")
-			await clock.sleep(wasAnyAsked ? ASKED_AGAIN_MS : PLACER_POLL_MS)
+			await clock.sleep(wasAnyAsked ? ASK_AGAIN_MS : PLACER_POLL_MS)
 		}
 	}
 
@@ -225,7 +227,7 @@
 		queue: Queue,
 		caller: Caller,
 		moved: MovedJob | undefined,
-	): Promise<Asked> {
+	): Promise<AskResult> {
 		const tried = new Set<string>()
 		let end: JobEnd | undefined
 		for (;;) {
@@ -233,10 +235,10 @@
 			if (!claim) break
 			tried.add(claim.failureDomain)
 			const reply = await ask(claim, job, queue, caller, moved)
-			if (isUnbegun(reply)) continue
+			if (isNotStarted(reply)) continue
 			if (reply.type !== "refused") return {end: reply, wasAnyAsked: true}
 			end = reply
-			if (!mayGoElsewhere(job, queue, reply, clock.now())) break
+			if (!mayTryElsewhere(job, queue, reply, clock.now())) break
 		}
 		return {end, wasAnyAsked: tried.size > 0}
 	}
@@ -247,12 +249,12 @@
 		return deps.rescheduleLostJob?.({job, queue, caller}, end, tryPlacers) ?? outcomeUnknown(end)
 	}
 
-	function noteTry(job: Job, claim: Claim, outcome: string) {
+	function logAnswer(job: Job, claim: Claim, outcome: string) {
 		// The placer asked may have the job all the same, unless the call was never sent.
 		const write = outcome === "given up" ? log.alarm : log.event
 		write("job", "placer_asked", "job: a placer answered.", () => ({
 			job: job.id,
-			...whoIsAsked(deps, claim),
+			...placerFields(deps, claim),
 			outcome,
 			tookMs: Math.round(clock.now() - job.receivedAt),
 		}))
@@ -272,9 +274,9 @@
 	}
 
 	return {
-		dispatch(handedIn, queue, caller) {
-			const job = sinceArrival(handedIn, caller)
-			return counted(place(job, queue, untilDeadline(caller, job)))
+		dispatch(submitted, queue, caller) {
+			const job = datedBack(submitted, caller)
+			return trackWork(place(job, queue, limitedToDeadline(caller, job)))
 		},
 		async runJob(message, caller) {
 			// A leaving placer stays until a successor takes over; jobs that arrive until then are handed over too.
@@ -289,12 +291,12 @@
 			}
 			const queue = queueFor(message)
 			if (!queue) return {type: "refused", kind: "no_configuration", cause: "unknown queue here"}
-			return counted(hosts.run(host, job, queue, caller))
+			return trackWork(hosts.run(host, job, queue, caller))
 		},
 		runTask(message, caller) {
 			const host = hosts.of(message.failureDomain)
 			if (!host || deps.isLeaving()) return Promise.resolve({type: "not placer"})
-			const req = requestOf(message, caller)
+			const req = receivedRequest(message, caller)
 			const {runsAt} = message
 			const end = new Promise<TaskEnd>(resolve => {
 				const handle = runsAt
@@ -302,11 +304,11 @@
 					: host.placer.submit(req, resolve, () => undefined)
 				caller.onCancel(() => handle.cancel())
 			})
-			return counted(end)
+			return trackWork(end)
 		},
 		candidates,
 		// While all failure domains are evacuated no other instance could place the job either.
-		canPlace: () => hasCandidates() || areAllEmptied(),
+		canPlace: () => hasCandidates() || areAllEvacuated(),
 		workCount: () => workCount,
 	}
 }
--- a/packages/jobs/src/coordinate/handover.ts
+++ b/packages/jobs/src/coordinate/handover.ts
@@ -19,14 +19,14 @@
  * Time allowed for a takeover, which includes two calls to a possibly slow store. Asking a second successor earlier would
  * take the domain from the first, and its runs would be lost.
  */
-const TAKE_TIMEOUT_MS = 1_800
+const TAKEOVER_TIMEOUT_MS = 1_800
 /** Maximum number of successors asked; the rest of the stop's grace period is for work in progress. */
 const MAX_ASKED = 2
 /** A better placer must have been available this long before it gets the domain. */
 const SETTLED_MS = 2_000
 const POLL_MS = 200
 /** Minimum time between two handovers because of overload. */
-const RELIEF_PAUSE_MS = 3_000
+const OVERLOAD_HANDOVER_PAUSE_MS = 3_000
 /** How many times larger an instance of the same domain must be to be worth a handover. */
 const MUCH_LARGER = 1.5
 /**
@@ -63,17 +63,17 @@
 	const {clock, log, peers, view, self, hosts, overflow} = deps
 	const betterSince = new Map<string, {readonly session: string; readonly at: number}>()
 	/** The last handover begun, by failure domain. */
-	const underWay = new Map<string, Promise<boolean>>()
-	let relievedAt = -Infinity
+	const inProgress = new Map<string, Promise<boolean>>()
+	let overloadHandoverAt = -Infinity
 	let isClosed = false
 
 	function successorsFor(failureDomain: string): readonly Member[] {
 		const others = view.members().filter(({session}) => session !== self.session)
 		const staying = others.filter(({session}) => !view.isLeaving(session))
 		const rank = (member: Member) => {
-			const isNative = member.failureDomain === failureDomainOf(failureDomain)
-			if (isMuchSmaller(member)) return isNative ? 3 : 4
-			if (isNative) return isDivided(failureDomain) && isPlacing(member) ? 0.5 : 0
+			const isInDomain = member.failureDomain === failureDomainOf(failureDomain)
+			if (isMuchSmaller(member)) return isInDomain ? 3 : 4
+			if (isInDomain) return isSliced(failureDomain) && isPlacing(member) ? 0.5 : 0
 			return isPlacing(member) ? 2 : 1
 		}
 		return [...staying]
@@ -81,7 +81,7 @@
 			.slice(0, MAX_ASKED)
 	}
 
-	const isDivided = (failureDomain: string) => view.sliceCount(failureDomain) > 1
+	const isSliced = (failureDomain: string) => view.sliceCount(failureDomain) > 1
 
 	function isPlacing({session}: Member): boolean {
 		return view.claims().some(({placer}) => placer.session === session)
@@ -94,14 +94,14 @@
 	 * Hands the domain over to an instance, one request at a time: a second successor asked too early takes the domain from
 	 * the first.
 	 */
-	function giveTo(failureDomain: string, member: Member): Promise<boolean> {
-		const before = underWay.get(failureDomain) ?? Promise.resolve(false)
-		const next = before.then(() => askToTake(failureDomain, member))
-		underWay.set(failureDomain, next)
+	function handOverTo(failureDomain: string, member: Member): Promise<boolean> {
+		const before = inProgress.get(failureDomain) ?? Promise.resolve(false)
+		const next = before.then(() => requestTakeover(failureDomain, member))
+		inProgress.set(failureDomain, next)
 		return next
 	}
 
-	async function askToTake(failureDomain: string, member: Member): Promise<boolean> {
+	async function requestTakeover(failureDomain: string, member: Member): Promise<boolean> {
 		const claim = view.claimOf(failureDomain)
 		if (!claim || claim.placer.session !== self.session) return true
 		const message: TakeOverMessage = {
@@ -111,7 +111,7 @@
 			from: self.session,
 		}
 		hosts.offerHandover(failureDomain)
-		const reply = await peers.takeOver(member.address, message, TAKE_TIMEOUT_MS).reply
+		const reply = await peers.takeOver(member.address, message, TAKEOVER_TIMEOUT_MS).reply
 		const asked = {peer: member.name, session: shortSession(member.session)}
 		const fields = {failureDomain, fence: claim.fence, ...asked}
 		const outcome = reply?.isTaken ? "taken" : reply ? "declined" : "silent"
@@ -135,21 +135,21 @@
 		return known && known.fence > fence && known.placer.session === session ? known : undefined
 	}
 
-	async function giveAway(failureDomain: string) {
+	async function handOver(failureDomain: string) {
 		for (const member of successorsFor(failureDomain))
-			if (await giveTo(failureDomain, member)) return
+			if (await handOverTo(failureDomain, member)) return
 		const fields = {failureDomain}
 		log.alarm("placer", "handover_failed", "placer: no instance took over the domain.", fields)
 	}
 
 	/** Whether several slices of the domain are placed here, and this one could go to a free instance. */
-	function isOneTooMany(failureDomain: string): boolean {
+	function isSurplusSlice(failureDomain: string): boolean {
 		return sliceIndexOf(failureDomain) > 0 && deps.placedDomains().length > 1
 	}
 
 	/** The best instance of the domain itself that should place it instead of this one. */
 	function betterPlacer(failureDomain: string): Member | undefined {
-		const isFree = (member: Member) => !isDivided(failureDomain) || !isPlacing(member)
+		const isFree = (member: Member) => !isSliced(failureDomain) || !isPlacing(member)
 		return view
 			.membersOf(failureDomain)
 			.filter(({session}) => session !== self.session && !view.isLeaving(session))
@@ -166,7 +166,7 @@
 	function isBetter(failureDomain: string, member: Member, isFree: boolean): boolean {
 		if (failureDomainOf(failureDomain) !== self.failureDomain) return true
 		if (!isFree) return false
-		if (isOneTooMany(failureDomain)) return !isMuchSmaller(member)
+		if (isSurplusSlice(failureDomain)) return !isMuchSmaller(member)
 		return member.cpuShare > self.cpuShare * MUCH_LARGER
 	}
 
@@ -182,22 +182,22 @@
 		return undefined
 	}
 
-	async function giveBack() {
+	async function handToBetterPlacers() {
 		for (const failureDomain of deps.placedDomains()) {
 			const better = settledBetterPlacer(failureDomain)
-			if (better) await giveTo(failureDomain, better)
+			if (better) await handOverTo(failureDomain, better)
 		}
 	}
 
 	/** Hands over everything placed here because of overload, to instances that aren't overloaded. */
-	async function seekRelief() {
-		relievedAt = clock.now()
+	async function handOverForOverload() {
+		overloadHandoverAt = clock.now()
 		for (const failureDomain of deps.placedDomains()) {
 			const member = successorsFor(failureDomain).find(({session}) => !view.isStrained(session))
 			if (!member) continue
 			const fields = {failureDomain, peer: member.name}
 			log.alarm("placer", "relief_sought", "placer: overloaded; handing over its domain.", fields)
-			await giveTo(failureDomain, member)
+			await handOverTo(failureDomain, member)
 		}
 	}
 
@@ -205,15 +205,16 @@
 		while (!isClosed) {
 			await clock.sleep(POLL_MS)
 			if (isClosed || deps.isLeaving()) continue
-			if (!deps.isStrained()) await giveBack()
-			else if (clock.now() - relievedAt >= RELIEF_PAUSE_MS) await seekRelief()
+			if (!deps.isStrained()) await handToBetterPlacers()
+			else if (clock.now() - overloadHandoverAt >= OVERLOAD_HANDOVER_PAUSE_MS)
+				await handOverForOverload()
 		}
 	}
 
 	void loop()
 	return {
 		async handOverAll() {
-			await Promise.all(deps.placedDomains().map(giveAway))
+			await Promise.all(deps.placedDomains().map(handOver))
 		},
 		async takeOver({failureDomain, fence, executors}) {
 			if (deps.isLeaving() || deps.isStrained()) return {isTaken: false}
--- a/packages/jobs/src/coordinate/heartbeat-handler.ts
+++ b/packages/jobs/src/coordinate/heartbeat-handler.ts
@@ -38,16 +38,17 @@
 			configVersion: config.current()?.version ?? 0,
 			evacuations: evacuations.snapshot(),
 		}),
-		take(beat) {
-			view.applyHeartbeat(beat)
-			peers.noteReachable(beat.from.address)
-			config.noteNewer(beat.configVersion, beat.from.name)
-			if (beat.evacuations) evacuations.applySnapshot(beat.evacuations, beat.from.name)
-			if (hasRoom(beat.rooms)) hosts.placeWaiting()
+		take(heartbeat) {
+			view.applyHeartbeat(heartbeat)
+			peers.noteReachable(heartbeat.from.address)
+			config.noteNewer(heartbeat.configVersion, heartbeat.from.name)
+			if (heartbeat.evacuations)
+				evacuations.applySnapshot(heartbeat.evacuations, heartbeat.from.name)
+			if (hasRoom(heartbeat.rooms)) hosts.placeWaiting()
 		},
-		takeRoom(news) {
-			view.applyRoomUpdate(news)
-			if (hasRoom(news.rooms)) hosts.placeWaiting()
+		takeRoom(update) {
+			view.applyRoomUpdate(update)
+			if (hasRoom(update.rooms)) hosts.placeWaiting()
 		},
 	}
 }
--- a/packages/jobs/src/coordinate/hosted-placers.ts
+++ b/packages/jobs/src/coordinate/hosted-placers.ts
@@ -19,9 +19,9 @@
 import type {JobMover, Placing} from "./job-mover.js"
 import type {Overflow} from "./overflow.js"
 import {createSliceMoves} from "./slice-moves.js"
-import type {HostSlices} from "./slices.js"
+import type {SliceRouting} from "./slice-routing.js"
 import {latestStartOnTime, objectiveMsOf, startJobRun, type JobRun} from "./job-run.js"
-import {beenOf} from "./moved-job.js"
+import {parseDomainsTried} from "./moved-job.js"
 
 /** Estimates are too inexact to refuse a job for a shorter wait. */
 const SHORT_WAIT_MS = 30
@@ -50,7 +50,7 @@
 	/** Absent where jobs are judged by the backlog instead of forecasts. */
 	readonly admission?: Admission
 	readonly jobs: Set<JobRun>
-	readonly speedKeeper?: SpeedStore
+	readonly speedStore?: SpeedStore
 	/** Executors that obey a higher fence, possibly of a slice whose claim isn't known here yet. */
 	readonly fenced: Set<string>
 }
@@ -76,7 +76,7 @@
 	/** Starts storing the speeds learnt of a failure domain's executors. Absent: each placer learns for itself. */
 	readonly keepSpeeds?: (claim: Claim) => SpeedStore
 	/** Absent: no failure domain is sliced. */
-	readonly slices?: HostSlices
+	readonly slices?: SliceRouting
 	/** Input of admission by forecast. Absent: jobs are judged by the backlog. */
 	readonly forecasting?: Pick<AdmissionDeps, "borrowableCores" | "queues">
 	/** Moves whole jobs that find no room here. Absent: only single tasks go to other failure domains. */
@@ -118,13 +118,13 @@
 	close(): void
 }
 
-interface Expected {
+interface ExpectedHandover {
 	readonly fence: number
 	readonly until: number
 	readonly executors: readonly ExecutorRecord[]
 }
 
-function longestBacklogMs(job: Job, queue: Queue): number {
+function maxBacklogMs(job: Job, queue: Queue): number {
 	const isUrgent = queue.priority === HIGHEST_PRIORITY
 	return objectiveMsOf(job, queue) * (isUrgent ? URGENT_BACKLOG_OBJECTIVES : BACKLOG_OBJECTIVES)
 }
@@ -139,30 +139,30 @@
 	const {clock, log, metrics, self} = deps
 	const hosts = new Map<string, HostedPlacer>()
 	/** Announced handovers by failure domain. */
-	const expected = new Map<string, Expected>()
+	const expectedHandovers = new Map<string, ExpectedHandover>()
 	/** Failure domains being handed over, with the cause that would have ended their placing meanwhile. */
-	const givenUp = new Map<string, string | undefined>()
-	let toldRooms: Readonly<Record<string, Room>> = {}
-	const moves = createSliceMoves({clock, log, hosts, slices: deps.slices, endPlacing})
+	const beingHandedOver = new Map<string, string | undefined>()
+	let reportedRooms: Readonly<Record<string, Room>> = {}
+	const sliceMoves = createSliceMoves({clock, log, hosts, slices: deps.slices, endPlacing})
 
 	function beginPlacing(claim: Claim) {
 		const {failureDomain, fence} = claim
-		const onFenced = (executor: ExecutorRecord) => moves.noteFenced(claim, executor)
-		const handover = expectedAt(claim)
+		const onFenced = (executor: ExecutorRecord) => sliceMoves.noteFenced(claim, executor)
+		const handover = takeExpected(claim)
 		const orphansWaitMs = handover ? HANDOVER_WAIT_MS : 0
 		const knowsAllExecutors = handover !== undefined || fence === FIRST_FENCE
 		const onDeposed = () => endPlacing(failureDomain, fence, "the store has another claim")
 		const keeper = deps.createKeeper(claim, onDeposed)
 		const fenced = {failureDomain, fence, onFenced, orphansWaitMs, knowsAllExecutors}
 		const isEvacuated = () => deps.isEvacuated(failureDomain)
-		const speedKeeper = deps.keepSpeeds?.(claim)
-		const {speeds} = speedKeeper ?? {}
+		const speedStore = deps.keepSpeeds?.(claim)
+		const {speeds} = speedStore ?? {}
 		const handOver = (item: WaitingTask) => handOverFrom({claim, placer}, item)
 		const own = {isEvacuated, kept: keeper, speeds, handOver}
 		const placer: Placer = createPlacer({...deps, ...fenced, ...own})
 		const {forecasting} = deps
 		const admission = forecasting && createAdmission({clock, log, metrics, placer, ...forecasting})
-		const host = {claim, keeper, placer, admission, jobs: new Set<JobRun>(), speedKeeper}
+		const host = {claim, keeper, placer, admission, jobs: new Set<JobRun>(), speedStore}
 		hosts.set(failureDomain, {...host, fenced: new Set()})
 		keeper.begin(placer)
 		placer.setExecutors(handover?.executors ?? deps.executorsOf(failureDomain))
@@ -176,21 +176,21 @@
 		return move === "goes by tasks" ? deps.handOver(item) : move === "moved"
 	}
 
-	function expectedAt({failureDomain, fence}: Claim): Expected | undefined {
-		const handover = expected.get(failureDomain)
-		expected.delete(failureDomain)
-		const isMeant = handover?.fence === fence && handover.until > clock.now()
-		return isMeant ? handover : undefined
+	function takeExpected({failureDomain, fence}: Claim): ExpectedHandover | undefined {
+		const handover = expectedHandovers.get(failureDomain)
+		expectedHandovers.delete(failureDomain)
+		const isValid = handover?.fence === fence && handover.until > clock.now()
+		return isValid ? handover : undefined
 	}
 
 	function endPlacing(failureDomain: string, fence: number, cause: string) {
 		const host = hosts.get(failureDomain)
 		if (!host || host.claim.fence !== fence) return
-		if (givenUp.has(failureDomain)) return void givenUp.set(failureDomain, cause)
+		if (beingHandedOver.has(failureDomain)) return void beingHandedOver.set(failureDomain, cause)
 		hosts.delete(failureDomain)
 		host.admission?.close()
 		host.keeper.close()
-		host.speedKeeper?.close()
+		host.speedStore?.close()
 		host.placer.relinquish()
 		const fields = {failureDomain, fence, cause, count: host.jobs.size}
 		log.alarm("placer", "placing_ended", "placer: stopped placing a failure domain.", fields)
@@ -198,14 +198,14 @@
 	}
 
 	/** Refuses a job that cannot start in time here, early enough for another placer to take it. */
-	function refusalOf(job: Job, queue: Queue, placer: Placer): JobEnd | undefined {
+	function backlogRefusal(job: Job, queue: Queue, placer: Placer): JobEnd | undefined {
 		// A placer that has just begun gets its executors within milliseconds; a short wait beats a refusal.
 		if (placer.isStartingUp()) return undefined
 		const startBy = latestStartOnTime(job, queue)
 		const waitMs = placer.expectedWaitMs(startBy)
 		const isInTime = clock.now() + waitMs <= startBy || waitMs < SHORT_WAIT_MS
 		const allMs = placer.expectedWaitMs(Infinity)
-		if (isInTime && allMs <= longestBacklogMs(job, queue)) return undefined
+		if (isInTime && allMs <= maxBacklogMs(job, queue)) return undefined
 		if (canStartNow(job, queue, placer)) return undefined
 		const kind = waitMs === Infinity ? "no_capacity" : "overloaded"
 		const cause = `${Math.round(waitMs)} ms of work go before it, ${Math.round(allMs)} ms wait`
@@ -220,17 +220,17 @@
 				endPlacing(claim.failureDomain, host.claim.fence, "another claim was written")
 			if (claim.placer.session === self.session && !hosts.has(claim.failureDomain))
 				beginPlacing(claim)
-			moves.noteClaim(claim)
+			sliceMoves.noteClaim(claim)
 		},
 		expectHandover({failureDomain, fence}, executors) {
-			expected.set(failureDomain, {fence, until: clock.now() + CLAIM_WAIT_MS, executors})
+			expectedHandovers.set(failureDomain, {fence, until: clock.now() + CLAIM_WAIT_MS, executors})
 		},
 		offerHandover(failureDomain) {
-			givenUp.set(failureDomain, undefined)
+			beingHandedOver.set(failureDomain, undefined)
 		},
 		withdrawHandover(failureDomain) {
-			const cause = givenUp.get(failureDomain)
-			givenUp.delete(failureDomain)
+			const cause = beingHandedOver.get(failureDomain)
+			beingHandedOver.delete(failureDomain)
 			const host = hosts.get(failureDomain)
 			// Another placer has the claim by now, though not by this handover.
 			if (host && cause !== undefined) endPlacing(failureDomain, host.claim.fence, cause)
@@ -238,12 +238,12 @@
 		handOverTo(successor, overflow) {
 			const {failureDomain, fence} = successor
 			const host = hosts.get(failureDomain)
-			givenUp.delete(failureDomain)
+			beingHandedOver.delete(failureDomain)
 			if (!host) return
 			hosts.delete(failureDomain)
 			host.admission?.close()
 			host.keeper.close()
-			host.speedKeeper?.close()
+			host.speedStore?.close()
 			const count = host.placer.counts().running
 			host.placer.handOverAll((item, from) => overflow.sendTo(successor, item, from))
 			const {name, session} = successor.placer
@@ -252,26 +252,26 @@
 		},
 		setExecutors(records) {
 			for (const [failureDomain, {placer}] of hosts)
-				placer.setExecutors(moves.ownOf(failureDomain, records))
+				placer.setExecutors(sliceMoves.ownExecutors(failureDomain, records))
 		},
 		executorsOf: failureDomain => hosts.get(failureDomain)?.placer.executors() ?? [],
-		async run(host, handedIn, queue, {onCancel, confirmedAt}) {
+		async run(host, submitted, queue, {onCancel, confirmedAt}) {
 			const {admission} = host
-			const job = {...handedIn, been: beenOf(handedIn.been, deps)}
-			const verdict = admission?.assess(job, queue) ?? refusalOf(job, queue, host.placer)
+			const job = {...submitted, been: parseDomainsTried(submitted.been, deps)}
+			const verdict = admission?.assess(job, queue) ?? backlogRefusal(job, queue, host.placer)
 			const refusal = typeof verdict === "object" ? verdict : undefined
-			const away = deps.elsewhere?.onArrival(host, job, queue, refusal !== undefined)
-			if (away) return away
+			const move = deps.elsewhere?.onArrival(host, job, queue, refusal !== undefined)
+			if (move) return move
 			if (refusal) return refusal
-			const isWatched = admission !== undefined
+			const hasAdmission = admission !== undefined
 			const isLate = verdict === "late"
 			const submit = (
 				req: TaskRequest,
 				onEnd: Parameters<Placer["submit"]>[1],
 				onStart: () => void,
 			) => host.placer.submit(req, onEnd, onStart)
-			const watching = {isWatched, isLate}
-			const run = startJobRun(job, queue, {clock, log, metrics, confirmedAt, submit, ...watching})
+			const options = {hasAdmission, isLate}
+			const run = startJobRun(job, queue, {clock, log, metrics, confirmedAt, submit, ...options})
 			admission?.follow(job, queue, run, isLate)
 			host.jobs.add(run)
 			const endWatch = deps.elsewhere?.watch(job, queue, run)
@@ -289,10 +289,10 @@
 		rooms() {
 			const rooms: Record<string, Room> = {}
 			for (const [failureDomain, {placer}] of hosts) rooms[failureDomain] = placer.room()
-			toldRooms = rooms
+			reportedRooms = rooms
 			return rooms
 		},
-		lastReportedRoom: failureDomain => toldRooms[failureDomain],
+		lastReportedRoom: failureDomain => reportedRooms[failureDomain],
 		isPlacing: () => hosts.size > 0,
 		counts() {
 			const sum = {waiting: 0, running: 0, usable: 0, kept: 0}
@@ -306,10 +306,10 @@
 			return sum
 		},
 		close() {
-			for (const {placer, keeper, admission, speedKeeper} of hosts.values()) {
+			for (const {placer, keeper, admission, speedStore} of hosts.values()) {
 				admission?.close()
 				keeper.close()
-				speedKeeper?.close()
+				speedStore?.close()
 				placer.close()
 			}
 		},
--- a/packages/jobs/src/coordinate/job-mover.ts
+++ b/packages/jobs/src/coordinate/job-mover.ts
@@ -27,9 +27,9 @@
 import {latestStartOnTime, type JobRun} from "./job-run.js"
 
 /** Total capacity is summed again after this; executors seldom change. */
-const TOTAL_AGE_MS = 200
+const TOTAL_VALID_MS = 200
 /** Queues are looked at again after this, unless the end of a run does it sooner. */
-const LOOK_AGAIN_MS = 15
+const RETRY_QUEUE_MS = 15
 
 export interface JobMoverDeps {
 	readonly clock: Clock
@@ -70,16 +70,16 @@
 	const {clock, view, peers, self, rooms, crossDomainMs} = deps
 	const watched = new Map<string, Watched>()
 	/** Failure domains for which another look at the queue is scheduled. */
-	const looksDue = new Set<string>()
+	const retriesScheduled = new Set<string>()
 	const totals = new Map<string, {readonly at: number; readonly cpu: number}>()
 
 	/** Schedules another look at the queue, since no run may end meanwhile. */
 	function stay({claim, placer}: Placing): NoRoomOutcome {
 		const {failureDomain} = claim
-		if (looksDue.has(failureDomain)) return "stays"
-		looksDue.add(failureDomain)
-		clock.schedule(Math.max(LOOK_AGAIN_MS, moveAfterMs(crossDomainMs)), () => {
-			looksDue.delete(failureDomain)
+		if (retriesScheduled.has(failureDomain)) return "stays"
+		retriesScheduled.add(failureDomain)
+		clock.schedule(Math.max(RETRY_QUEUE_MS, moveAfterMs(crossDomainMs)), () => {
+			retriesScheduled.delete(failureDomain)
 			placer.placeWaiting()
 		})
 		return "stays"
@@ -87,22 +87,22 @@
 
 	function totalCpuOf({claim, placer}: Placing): number {
 		const known = totals.get(claim.failureDomain)
-		if (known && clock.now() - known.at < TOTAL_AGE_MS) return known.cpu
+		if (known && clock.now() - known.at < TOTAL_VALID_MS) return known.cpu
 		const cpu = placer.room().totalCpu
 		totals.set(claim.failureDomain, {at: clock.now(), cpu})
 		return cpu
 	}
 
-	function newsOf({failureDomain, placer}: Claim): DomainReport | undefined {
-		const counted = rooms.of(failureDomain)
-		if (!counted) return undefined
-		const {room, at} = counted.told
+	function reportOf({failureDomain, placer}: Claim): DomainReport | undefined {
+		const estimate = rooms.of(failureDomain)
+		if (!estimate) return undefined
+		const {room, at} = estimate.told
 		return {
 			failureDomain,
 			reportedCpu: room.freeCpu,
-			freeCpu: counted.freeCpu,
-			sentCpu: counted.sentCpu,
-			sentWork: counted.sentWork,
+			freeCpu: estimate.freeCpu,
+			sentCpu: estimate.sentCpu,
+			sentWork: estimate.sentWork,
 			totalCpu: room.totalCpu,
 			waitingWork: room.waitingWork,
 			labels: room.labels,
@@ -118,13 +118,13 @@
 	}
 
 	/** The state of the failure domains that others place. Those without a recent report count as without room. */
-	function allNews(): readonly DomainReport[] {
+	function allReports(): readonly DomainReport[] {
 		const others = view.claims().filter(({placer}) => placer.session !== self.session)
-		return others.map(claim => newsOf(claim) ?? untold(claim))
+		return others.map(claim => reportOf(claim) ?? emptyReport(claim))
 	}
 
 	function choose(own: OwnDomain, need: JobNeed): JobMove | undefined {
-		const choice = chooseDomain(own, allNews(), need, crossDomainMs)
+		const choice = chooseDomain(own, allReports(), need, crossDomainMs)
 		const claim = choice && view.claimOf(choice.failureDomain)
 		if (!claim) return undefined
 		rooms.deduct(choice.failureDomain, need)
@@ -193,7 +193,7 @@
 	}
 }
 
-function untold({failureDomain}: Claim): DomainReport {
+function emptyReport({failureDomain}: Claim): DomainReport {
 	return {
 		failureDomain,
 		reportedCpu: [],
--- a/packages/jobs/src/coordinate/job-run.ts
+++ b/packages/jobs/src/coordinate/job-run.ts
@@ -24,7 +24,7 @@
 /** Delay before a returned or lost task is retried. */
 export const RETRY_MS = 15
 /** An answer later than this many objectives is of no use to the caller. */
-const USELESS_OBJECTIVES = 3
+const USEFUL_OBJECTIVES = 3
 /**
  * Without forecasts, a job is refused when nothing has started after this many objectives, or after this share of the time
  * to its deadline. By then it would be late, and delay the jobs behind it.
@@ -41,7 +41,7 @@
 	/** Milliseconds on the monotonic clock: the last time as of which the caller is known to want the job. */
 	readonly confirmedAt: () => number
 	/** Admission watches the job while it waits, so the job itself only ends waiting at its deadline. */
-	readonly isWatched?: boolean
+	readonly hasAdmission?: boolean
 	/** The job was admitted late: its tasks go behind those of all jobs that can be on time. */
 	readonly isLate?: boolean
 	readonly submit: (
@@ -108,11 +108,11 @@
 
 /** The time from a job's arrival during which an answer may be of use to the caller, in milliseconds. */
 export function answerUsefulMs(job: Job, queue: Queue): number {
-	return Math.min(job.deadlineAt - job.receivedAt, objectiveMsOf(job, queue) * USELESS_OBJECTIVES)
+	return Math.min(job.deadlineAt - job.receivedAt, objectiveMsOf(job, queue) * USEFUL_OBJECTIVES)
 }
 
 /** The time from a job's arrival during which it may wait for its first start, in milliseconds. */
-function unstartedForMs(job: Job, queue: Queue): number {
+function maxUnstartedMs(job: Job, queue: Queue): number {
 	const shareMs = (job.deadlineAt - job.receivedAt) * UNSTARTED_SHARE
 	return Math.min(objectiveMsOf(job, queue) * UNSTARTED_OBJECTIVES, shareMs)
 }
@@ -144,11 +144,11 @@
 	/** Already past at any placer, so that no job that can be on time waits for this one. */
 	const lateSince = job.receivedAt - 1
 	const remaining = job.steps.map(step => step.count)
-	const begun = new Set<number>()
+	const startedSteps = new Set<number>()
 	const tasks: TaskState[] = []
 	let firstStartAt: number | undefined
-	let tellFirstStart: () => void = () => undefined
-	let tellWholeStart: () => void = () => undefined
+	let onFirstStart: () => void = () => undefined
+	let onAllStarted: () => void = () => undefined
 	let startsLeft = firstTaskCount(job.steps)
 	let isOver = false
 	/** The last confirmation at the job's end; later ones say nothing about this job's runs. */
@@ -175,7 +175,7 @@
 			startBy: deps.isLate
 				? lateSince
 				: dueAt - step.estimateMs - chainAfterMs(job.steps, task.step),
-			uselessAt: deps.isLate ? lateSince : job.receivedAt + objectiveMs * USELESS_OBJECTIVES,
+			uselessAt: deps.isLate ? lateSince : job.receivedAt + objectiveMs * USEFUL_OBJECTIVES,
 			deadlineAt: job.deadlineAt,
 			confirmedAt,
 			isBegun: firstStartAt !== undefined,
@@ -187,14 +187,14 @@
 	function noteTaskStart() {
 		noteStart()
 		startsLeft--
-		if (startsLeft === 0) tellWholeStart()
+		if (startsLeft === 0) onAllStarted()
 	}
 
 	function noteStart() {
 		if (firstStartAt !== undefined) return
 		firstStartAt = clock.now()
 		metrics.observe("first_start_ms", firstStartAt - job.receivedAt)
-		tellFirstStart()
+		onFirstStart()
 	}
 
 	function submitTask(task: TaskState) {
@@ -230,7 +230,7 @@
 		task.run++
 		task.avoid.push(end.executor)
 		if (end.type === "lost") {
-			if (end.crash) takeCrash(task, end.executor, end.crash)
+			if (end.crash) recordCrash(task, end.executor, end.crash)
 			return isOver ? undefined : retry(task, "lost", end.cause)
 		}
 		task.failures++
@@ -239,7 +239,7 @@
 	}
 
 	/** Counts an executor's crash while it ran the task: certainly, possibly or not caused by the task. */
-	function takeCrash(task: TaskState, executor: string, crash: Crash) {
+	function recordCrash(task: TaskState, executor: string, crash: Crash) {
 		task.crashes = countCrash(task.crashes, crash)
 		noteCrash(deps, {job: job.id, task: task.name, run: task.run, executor, outcome: crash})
 		const {known} = task.crashes
@@ -256,13 +256,13 @@
 		remaining[task.step] = left
 		if (left > 0) return
 		if (remaining.every(count => count === 0)) return finish({type: "completed"})
-		beginSteps()
+		startReadySteps()
 	}
 
-	function beginSteps() {
+	function startReadySteps() {
 		job.steps.forEach((step, index) => {
-			if (begun.has(index) || step.after.some(before => remaining[before] !== 0)) return
-			begun.add(index)
+			if (startedSteps.has(index) || step.after.some(before => remaining[before] !== 0)) return
+			startedSteps.add(index)
 			for (let at = 0; at < step.count; at++) {
 				const task = newTask(index, `${job.id}.0.${index}.${at}`)
 				tasks.push(task)
@@ -291,19 +291,19 @@
 			finish({type: "refused", kind: "no_capacity", cause: `${cause}; nothing of it had started`})
 	}
 
-	const patienceMs = deps.isWatched ? answerUsefulMs(job, queue) : unstartedForMs(job, queue)
+	const maxWaitMs = deps.hasAdmission ? answerUsefulMs(job, queue) : maxUnstartedMs(job, queue)
 	const cancelUnstarted = clock.schedule(
-		Math.max(0, job.receivedAt + patienceMs - clock.now()),
+		Math.max(0, job.receivedAt + maxWaitMs - clock.now()),
 		refuseUnstarted,
 	)
 	const leftMs = Math.max(0, job.deadlineAt - clock.now())
 	const cancelDeadline = clock.schedule(leftMs, () => giveUp("deadline_exceeded"))
-	beginSteps()
+	startReadySteps()
 	return {
 		ended,
 		onStart(first, whole) {
-			tellFirstStart = first
-			tellWholeStart = whole
+			onFirstStart = first
+			onAllStarted = whole
 		},
 		refuse(end) {
 			if (firstStartAt === undefined) finish(end)
--- a/packages/jobs/src/coordinate/lost-job-rescheduler.ts
+++ b/packages/jobs/src/coordinate/lost-job-rescheduler.ts
@@ -42,7 +42,7 @@
 
 /** Resolves with the end of a job whose placer stopped responding. */
 export type RescheduleLostJob = (
-	handedIn: SubmittedJob,
+	submitted: SubmittedJob,
 	lost: LostAtPlacer,
 	tryPlacers: TryPlacers,
 ) => Promise<JobEnd>
@@ -64,17 +64,17 @@
 	metrics,
 	leaseRule,
 }: LostJobReschedulerDeps): RescheduleLostJob {
-	function placingTime(
+	function rescheduleTime(
 		{job, queue}: SubmittedJob,
-		{lastConfirmedAt: wantedAt}: LostAtPlacer,
+		{lastConfirmedAt}: LostAtPlacer,
 	): number | undefined {
 		const chainMs = criticalPathMs(job.steps)
 		const usefulUntil = job.receivedAt + answerUsefulMs(job, queue)
-		return rescheduleAt(leaseRule, {lastConfirmedAt: wantedAt, chainMs, usefulUntil}, clock.now())
+		return rescheduleAt(leaseRule, {lastConfirmedAt, chainMs, usefulUntil}, clock.now())
 	}
 
 	/** Resolves with true at that time, or with false as soon as the caller leaves. */
-	function stillWantedAt({onCancel}: Caller, at: number): Promise<boolean> {
+	function waitUnlessCancelled({onCancel}: Caller, at: number): Promise<boolean> {
 		return new Promise(resolve => {
 			const stop = clock.schedule(at - clock.now(), () => resolve(true))
 			onCancel(() => {
@@ -84,34 +84,36 @@
 		})
 	}
 
-	function note(
+	function record(
 		{id}: Job,
-		{cause, lastConfirmedAt: wantedAt}: LostAtPlacer,
+		{cause, lastConfirmedAt}: LostAtPlacer,
 		outcome: string,
 		waitedMs = 0,
 	) {
 		metrics.count("jobs_lost", outcome)
-		const inputAgeMs = Number.isFinite(wantedAt) ? Math.round(clock.now() - wantedAt) : undefined
+		const inputAgeMs = Number.isFinite(lastConfirmedAt)
+			? Math.round(clock.now() - lastConfirmedAt)
+			: undefined
 		const fields = {job: id, outcome, cause, inputAgeMs, waitedMs: Math.round(waitedMs)}
 		log.alarm("job", "lost_at_placer", "job: the placer stopped responding.", fields)
 	}
 
-	return async function placeAnew(handedIn, lost, tryPlacers): Promise<JobEnd> {
-		const {job, queue, caller} = handedIn
+	return async function reschedule(submitted, lost, tryPlacers): Promise<JobEnd> {
+		const {job, queue, caller} = submitted
 		const lostAt = clock.now()
-		const at = placingTime(handedIn, lost)
+		const at = rescheduleTime(submitted, lost)
 		if (at === undefined) {
-			note(job, lost, "too late")
+			record(job, lost, "too late")
 			return outcomeUnknown(lost)
 		}
-		if (!(await stillWantedAt(caller, at))) {
-			note(job, lost, "cancelled")
+		if (!(await waitUnlessCancelled(caller, at))) {
+			record(job, lost, "cancelled")
 			return {type: "given up", kind: "cancelled", cause: "its submitter left"}
 		}
 		const now = clock.now()
-		note(job, lost, "placed anew", now - lostAt)
+		record(job, lost, "placed anew", now - lostAt)
 		// Counts as a new arrival, as if the caller had submitted it again, but within the original deadline.
 		const end = await tryPlacers({...job, receivedAt: now}, queue, caller)
-		return end.type === "lost" ? placeAnew(handedIn, end, tryPlacers) : endAfterLoss(lost, end)
+		return end.type === "lost" ? reschedule(submitted, end, tryPlacers) : endAfterLoss(lost, end)
 	}
 }
--- a/packages/jobs/src/coordinate/moved-job.ts
+++ b/packages/jobs/src/coordinate/moved-job.ts
@@ -35,15 +35,15 @@
 	readonly at: number
 }
 
-const isFigure = (value: unknown) => typeof value === "number" && value >= 0
+const isNonNegative = (value: unknown) => typeof value === "number" && value >= 0
 
 /** Checks an answer from another instance, which may be malformed. */
 function isMove({claim, hereMs, thereMs, newsAgeMs}: JobMove): boolean {
-	return isClaim(claim) && [hereMs, thereMs, newsAgeMs].every(isFigure)
+	return isClaim(claim) && [hereMs, thereMs, newsAgeMs].every(isNonNegative)
 }
 
 /** The failure domains tried according to a peer. Undefined, so that the job stays, when that is malformed. */
-export function beenOf(value: unknown, {metrics}: Pick<MovedJobDeps, "metrics">) {
+export function parseDomainsTried(value: unknown, {metrics}: Pick<MovedJobDeps, "metrics">) {
 	if (value === undefined) return undefined
 	if (Array.isArray(value) && value.every(name => typeof name === "string"))
 		return value as readonly string[]
@@ -53,33 +53,33 @@
 
 export function followMoves({clock, log, metrics}: MovedJobDeps, job: Job): MovedJob {
 	/** Failure domains whose placers had the job or could not be reached. */
-	const been: string[] = []
+	const domainsTried: string[] = []
 	let move: Move | undefined
-	let goesTo: Claim | undefined
+	let target: Claim | undefined
 
 	/** Sends the job back to the placer that moved it, and excludes the unreached target. */
-	function goBack({from, claim}: Move) {
-		been.splice(been.indexOf(from.failureDomain), 1, claim.failureDomain)
-		goesTo = from
+	function sendBack({from, claim}: Move) {
+		domainsTried.splice(domainsTried.indexOf(from.failureDomain), 1, claim.failureDomain)
+		target = from
 	}
 
 	return {
-		withDomainsTried: () => ({...job, been: [...been]}),
+		withDomainsTried: () => ({...job, been: [...domainsTried]}),
 		next() {
-			const claim = goesTo
-			goesTo = undefined
+			const claim = target
+			target = undefined
 			return claim
 		},
 		accept(from, told) {
-			const isNew = isMove(told) && !been.includes(told.claim.failureDomain)
+			const isNew = isMove(told) && !domainsTried.includes(told.claim.failureDomain)
 			const isOther = isNew && told.claim.failureDomain !== from.failureDomain
-			if (!isOther || been.length >= MAX_MOVES) {
+			if (!isOther || domainsTried.length >= MAX_MOVES) {
 				metrics.count("broken_assumptions", "job_move")
 				return false
 			}
-			been.push(from.failureDomain)
+			domainsTried.push(from.failureDomain)
 			move = {...told, from, at: clock.now()}
-			goesTo = told.claim
+			target = told.claim
 			return true
 		},
 		noteOutcome(claim, outcome) {
@@ -99,7 +99,7 @@
 				outcome,
 				tookMs: Math.round(clock.now() - at),
 			})
-			if (outcome === "unsent" || outcome === "not placer") goBack(move)
+			if (outcome === "unsent" || outcome === "not placer") sendBack(move)
 			move = undefined
 		},
 	}
--- a/packages/jobs/src/coordinate/overflow.ts
+++ b/packages/jobs/src/coordinate/overflow.ts
@@ -52,28 +52,28 @@
 	const {clock, leaseRule, peers, view, self, log, metrics} = deps
 	const rooms = deps.rooms ?? createRoomEstimates(clock, view, false)
 
-	const isLabelled = ({told}: RoomEstimate, {label, rack}: TaskRequest) =>
+	const hasLabels = ({told}: RoomEstimate, {label, rack}: TaskRequest) =>
 		(label === undefined || told.room.labels.includes(label)) &&
 		(rack === undefined || told.room.labels.includes(rack))
 
-	const isHome = ({failureDomain: name}: Claim) =>
+	const isOwnSlice = ({failureDomain: name}: Claim) =>
 		failureDomainOf(name) === self.failureDomain && view.sliceCount(name) > 1
 
 	/** Prefers the own domain's other slices to other domains, then the freest executor. */
 	function isBetter(one: Target, best: Target): boolean {
-		if (isHome(one.claim) !== isHome(best.claim)) return isHome(one.claim)
+		if (isOwnSlice(one.claim) !== isOwnSlice(best.claim)) return isOwnSlice(one.claim)
 		return (one.room.freeCpu[0] ?? 0) > (best.room.freeCpu[0] ?? 0)
 	}
 
 	function choose(req: TaskRequest): Claim | undefined {
-		const been = req.been ?? []
-		if (been.length >= MAX_MOVES) return undefined
+		const domainsTried = req.been ?? []
+		if (domainsTried.length >= MAX_MOVES) return undefined
 		let best: Target | undefined
 		for (const claim of view.claims()) {
 			if (claim.placer.session === self.session || view.isLeaving(claim.placer.session)) continue
-			if (been.includes(claim.failureDomain)) continue
+			if (domainsTried.includes(claim.failureDomain)) continue
 			const room = rooms.of(claim.failureDomain)
-			if (!room || (room.freeCpu[0] ?? 0) < req.need.cpu || !isLabelled(room, req)) continue
+			if (!room || (room.freeCpu[0] ?? 0) < req.need.cpu || !hasLabels(room, req)) continue
 			if (!best || isBetter({claim, room}, best)) best = {claim, room}
 		}
 		return best?.claim
@@ -101,8 +101,8 @@
 		const outcome = reply?.type ?? (call.wasUnsent() ? "unsent" : "silent")
 		metrics.count("tasks_handed_over", outcome)
 		const fields = {job: req.job, task: req.task, run: req.run, peer: claim.placer.name}
-		const isTold = reply !== undefined && reply.type !== "lost"
-		const write = isTold ? log.event : log.alarm
+		const isAnswered = reply !== undefined && reply.type !== "lost"
+		const write = isAnswered ? log.event : log.alarm
 		write("placer", "task_handed_over", "placer: handed a task to another placer.", {
 			...fields,
 			session: shortSession(claim.placer.session),
@@ -129,8 +129,8 @@
 		// A handed-over run may go on until its lease ends.
 		if (reply && !wasRunning) return {type: "returned", cause: "not placer"}
 		// No later confirmation was sent, so the lease ends by this time whatever the other side knows.
-		const toldAt = Math.min(clock.now(), req.confirmedAt())
-		await clock.sleep(Math.max(0, certainEndAt(leaseRule, toldAt) - clock.now()))
+		const lastConfirmedAt = Math.min(clock.now(), req.confirmedAt())
+		await clock.sleep(Math.max(0, certainEndAt(leaseRule, lastConfirmedAt) - clock.now()))
 		const cause = reply?.type ?? "its placer is silent"
 		return {type: "lost", executor: placer.name, cause, crash: "possible"}
 	}
--- a/packages/jobs/src/coordinate/refusals.ts
+++ b/packages/jobs/src/coordinate/refusals.ts
@@ -7,7 +7,7 @@
 import type {JobMetrics} from "../utils/metrics.js"
 
 /** Up to this difference from its share a queue counts as even. */
-const EVEN_LEAD = 0.02
+const EVEN_EXCESS = 0.02
 
 export type Refusal = Extract<JobEnd, {type: "refused"}>
 
@@ -21,24 +21,24 @@
 	readonly waitedMs: number
 }
 
-interface Noted {
+interface RefusalSinks {
 	readonly log: EventLog
 	readonly metrics: JobMetrics
 }
 
 function standingOf({excess: lead}: Share): "above" | "even" | "below" {
-	if (Math.abs(lead) <= EVEN_LEAD) return "even"
+	if (Math.abs(lead) <= EVEN_EXCESS) return "even"
 	return lead > 0 ? "above" : "below"
 }
 
-const knownMs = (ms: number) => (Number.isFinite(ms) ? Math.round(ms) : undefined)
-const hundredths = (ratio: number) => Math.round(ratio * 100) / 100
+const finiteMs = (ms: number) => (Number.isFinite(ms) ? Math.round(ms) : undefined)
+const roundToHundredths = (ratio: number) => Math.round(ratio * 100) / 100
 
 /** Counts and logs a refusal, and returns the answer for the caller. */
 export function createRefusal(
 	{id, queue}: Job,
 	facts: RefusalDetails,
-	{log, metrics}: Noted,
+	{log, metrics}: RefusalSinks,
 ): Refusal {
 	const {reason, share, told, roomInMs, waitedMs} = facts
 	const retryAfterMs = retryAfterMsOf(id, roomInMs)
@@ -48,13 +48,13 @@
 		queue,
 		outcome: reason,
 		waitedMs: Math.round(waitedMs),
-		startInMs: knownMs(told.startInMs),
-		endInMs: knownMs(told.endInMs),
-		servedRatio: hundredths(share.servedRatio),
-		dueRatio: hundredths(share.dueRatio),
+		startInMs: finiteMs(told.startInMs),
+		endInMs: finiteMs(told.endInMs),
+		servedRatio: roundToHundredths(share.servedRatio),
+		dueRatio: roundToHundredths(share.dueRatio),
 		retryAfterMs,
 	})
-	const startIn = knownMs(told.startInMs)
+	const startIn = finiteMs(told.startInMs)
 	const forecast = startIn === undefined ? "no start is forecast" : `a start in ${startIn} ms`
 	const kind = reason === "no_executor" ? "no_capacity" : "overloaded"
 	return {type: "refused", kind, cause: `${reason}: ${forecast}`, retryAfterMs}
--- a/packages/jobs/src/coordinate/room-estimates.ts
+++ b/packages/jobs/src/coordinate/room-estimates.ts
@@ -6,7 +6,7 @@
 import type {FleetView, ReportedRoom} from "../fleet/members.js"
 
 /** Reports older than this are ignored: two heartbeats. */
-const ROOM_AGE_MS = 500
+const REPORT_VALID_MS = 500
 /** Work sent this shortly before a report may be missing from it. */
 const IN_FLIGHT_MS = 5
 const MILLICORES = 1_000
@@ -43,7 +43,7 @@
 export const taskWork = ({need, estimateMs}: {need: {cpu: number}; estimateMs: number}) =>
 	(need.cpu / MILLICORES) * estimateMs
 
-function take(room: RoomEstimate, {tasks, cpu, work}: SentTasks) {
+function deductFrom(room: RoomEstimate, {tasks, cpu, work}: SentTasks) {
 	const {freeCpu} = room
 	for (let task = 0; task < tasks; task++) {
 		freeCpu[0] = (freeCpu[0] ?? 0) - cpu
@@ -59,17 +59,17 @@
 	view: Pick<FleetView, "roomOf">,
 	countsInFlight: boolean,
 ): RoomEstimates {
-	const counted = new Map<string, RoomEstimate | undefined>()
+	const estimates = new Map<string, RoomEstimate | undefined>()
 	const lastSent = new Map<string, readonly Sent[]>()
 
 	function roomOf(failureDomain: string): RoomEstimate | undefined {
 		const told = view.roomOf(failureDomain)
-		if (!told || clock.now() - told.at > ROOM_AGE_MS) return undefined
-		const known = counted.get(failureDomain)
+		if (!told || clock.now() - told.at > REPORT_VALID_MS) return undefined
+		const known = estimates.get(failureDomain)
 		if (known?.told === told) return known
 		const fresh = {told, freeCpu: [...told.room.freeCpu], sentCpu: 0, sentWork: 0}
-		counted.set(failureDomain, fresh)
-		for (const sent of inFlight(failureDomain, told.at)) take(fresh, sent)
+		estimates.set(failureDomain, fresh)
+		for (const sent of inFlight(failureDomain, told.at)) deductFrom(fresh, sent)
 		return fresh
 	}
 
@@ -87,13 +87,13 @@
 		of: roomOf,
 		deduct(failureDomain, sent) {
 			const room = roomOf(failureDomain)
-			if (room) take(room, sent)
+			if (room) deductFrom(room, sent)
 			if (countsInFlight) noteSent(failureDomain, sent)
 		},
 		close(failureDomain) {
 			const told = view.roomOf(failureDomain)
 			const none = told && {told, freeCpu: [], sentCpu: 0, sentWork: 0}
-			counted.set(failureDomain, none)
+			estimates.set(failureDomain, none)
 		},
 	}
 }
--- a/packages/jobs/src/coordinate/division.ts
+++ b/packages/jobs/src/coordinate/slice-adder.ts
@@ -23,16 +23,16 @@
 import type {JobMetrics} from "../utils/metrics.js"
 
 /** Interval between checks for a further slice. */
-const LOOK_MS = 250
+const CHECK_INTERVAL_MS = 250
 /**
  * Time allowed for a takeover, which includes a claim's write to a possibly slow store. No other instance is asked
  * meanwhile.
  */
-const TAKE_TIMEOUT_MS = 1_800
+const TAKEOVER_TIMEOUT_MS = 1_800
 /** A placer that has been silent this long counts as not responding: three heartbeats. */
-const PLACER_QUIET_MS = 650
+const PLACER_SILENT_MS = 650
 
-export interface DivisionDeps {
+export interface SliceAdderDeps {
 	readonly clock: Clock
 	readonly log: EventLog
 	readonly metrics: JobMetrics
@@ -48,7 +48,7 @@
 	readonly isLeaving: () => boolean
 }
 
-export interface Division {
+export interface SliceAdder {
 	close(): void
 }
 
@@ -57,17 +57,17 @@
 	return new Set(records.filter(({isLeaving}) => !isLeaving).map(({address}) => address)).size
 }
 
-export function createDivision(deps: DivisionDeps): Division {
+export function createSliceAdder(deps: SliceAdderDeps): SliceAdder {
 	const {clock, log, metrics, peers, view, self, executorsPerPlacer} = deps
 	let isClosed = false
 
 	const isStaying = ({session}: Member) => !view.isLeaving(session) && !view.isStrained(session)
 
-	function isHeard(claim: Claim | undefined): boolean {
+	function isResponding(claim: Claim | undefined): boolean {
 		if (!claim) return false
 		const {session} = claim.placer
 		if (session === self.session) return true
-		return view.silentMs(session) < PLACER_QUIET_MS && !view.isLeaving(session)
+		return view.silentMs(session) < PLACER_SILENT_MS && !view.isLeaving(session)
 	}
 
 	function isPlacing({session}: Member): boolean {
@@ -75,12 +75,12 @@
 	}
 
 	/** The largest instance of the failure domain that places nothing yet. */
-	function placerForNext(failureDomain: string): Member | undefined {
+	function nextPlacer(failureDomain: string): Member | undefined {
 		const able = placerCandidates(view.membersOf(failureDomain))
 		return able.find(member => isStaying(member) && !isPlacing(member))
 	}
 
-	function isTooFew(failureDomain: string, perPlacer: number): boolean {
+	function needsSlice(failureDomain: string, perPlacer: number): boolean {
 		const slices = view.sliceCount(failureDomain)
 		const wanted = targetSliceCount({
 			executors: countStaying(deps.executorsOf(failureDomain)),
@@ -88,8 +88,10 @@
 			instances: placerCandidates(view.membersOf(failureDomain)).length,
 			slices,
 		})
-		const areAllHeard = sliceNames(failureDomain, slices).every(name => isHeard(view.claimOf(name)))
-		return slices < wanted && areAllHeard
+		const areAllResponding = sliceNames(failureDomain, slices).every(name =>
+			isResponding(view.claimOf(name)),
+		)
+		return slices < wanted && areAllResponding
 	}
 
 	async function add(failureDomain: string, member: Member) {
@@ -99,7 +101,7 @@
 		const fence = fenceFloorOf(name)
 		const executors = executorsOfSlice(name, count + 1, all)
 		const message: TakeOverMessage = {failureDomain: name, fence, executors, from: self.session}
-		const reply = await peers.takeOver(member.address, message, TAKE_TIMEOUT_MS).reply
+		const reply = await peers.takeOver(member.address, message, TAKEOVER_TIMEOUT_MS).reply
 		const outcome = reply?.isTaken ? "taken" : reply ? "declined" : "silent"
 		metrics.count("slices_added", outcome)
 		const cause = `${all.length} executors`
@@ -116,17 +118,17 @@
 		view.noteClaim({failureDomain: name, fence: fence + 1, placer: member})
 	}
 
-	async function look(perPlacer: number) {
+	async function check(perPlacer: number) {
 		const {failureDomain} = self
-		if (!deps.isPlacing(failureDomain) || !isTooFew(failureDomain, perPlacer)) return
-		const member = placerForNext(failureDomain)
+		if (!deps.isPlacing(failureDomain) || !needsSlice(failureDomain, perPlacer)) return
+		const member = nextPlacer(failureDomain)
 		if (member) await add(failureDomain, member)
 	}
 
 	async function loop(perPlacer: number) {
 		while (!isClosed) {
-			await clock.sleep(LOOK_MS)
-			if (!isClosed && !deps.isLeaving()) await look(perPlacer)
+			await clock.sleep(CHECK_INTERVAL_MS)
+			if (!isClosed && !deps.isLeaving()) await check(perPlacer)
 		}
 	}
 
--- a/packages/jobs/src/coordinate/slice-moves.ts
+++ b/packages/jobs/src/coordinate/slice-moves.ts
@@ -8,23 +8,23 @@
 import type {Claim} from "../types/fleet.js"
 import type {EventLog} from "../utils/log.js"
 import type {HostedPlacer} from "./hosted-placers.js"
-import type {HostSlices} from "./slices.js"
+import type {SliceRouting} from "./slice-routing.js"
 
 /** A new slice's claim is known everywhere within three heartbeats. */
-const SLICE_NEWS_MS = 650
+const CLAIM_KNOWN_MS = 650
 
 export interface SliceMovesDeps {
 	readonly clock: Clock
 	readonly log: EventLog
 	readonly hosts: ReadonlyMap<string, HostedPlacer>
 	/** Undefined: no failure domain is sliced. */
-	readonly slices: HostSlices | undefined
+	readonly slices: SliceRouting | undefined
 	readonly endPlacing: (failureDomain: string, fence: number, cause: string) => void
 }
 
 export interface SliceMoves {
 	/** The executors that the placer of a slice may use. */
-	ownOf(name: string, records: readonly ExecutorRecord[]): readonly ExecutorRecord[]
+	ownExecutors(name: string, records: readonly ExecutorRecord[]): readonly ExecutorRecord[]
 	/** Handles an executor that obeys a higher fence than the claim's. */
 	noteFenced(claim: Claim, executor: ExecutorRecord): void
 	/** Handles a claim that may be that of a new slice. */
@@ -39,11 +39,11 @@
 	endPlacing,
 }: SliceMovesDeps): SliceMoves {
 	/** Hands executors over to their new placer, with the runs there. */
-	function giveExecutors(name: string, isGiven: (record: ExecutorRecord) => boolean) {
+	function handOverExecutors(name: string, isMoved: (record: ExecutorRecord) => boolean) {
 		const host = hosts.get(name)
 		if (!host) return
-		const count = host.placer.handOverExecutors(isGiven, (item, from) =>
-			slices?.sendOn(name, item, from),
+		const count = host.placer.handOverExecutors(isMoved, (item, from) =>
+			slices?.forwardRun(name, item, from),
 		)
 		if (count === 0) return
 		const fields = {failureDomain: name, fence: host.claim.fence, count}
@@ -51,26 +51,26 @@
 	}
 
 	function isOwn(name: string, record: ExecutorRecord): boolean {
-		return slices === undefined || slices.ownOf(name, [record]).length > 0
+		return slices === undefined || slices.ownExecutors(name, [record]).length > 0
 	}
 
 	return {
-		ownOf(name, records) {
+		ownExecutors(name, records) {
 			if (!slices) return records.filter(record => record.failureDomain === name)
 			const fenced = hosts.get(name)?.fenced
-			const own = slices.ownOf(name, records)
+			const own = slices.ownExecutors(name, records)
 			return fenced?.size ? own.filter(({id}) => !fenced.has(id)) : own
 		},
 		noteFenced({failureDomain, fence}, {id}) {
 			const host = hosts.get(failureDomain)
 			// In an unsliced failure domain a higher fence is that of a new placer of the whole domain.
-			if (host?.claim.fence !== fence || !slices?.mayBeDivided(failureDomain))
+			if (host?.claim.fence !== fence || !slices?.mayBeSliced(failureDomain))
 				return endPlacing(failureDomain, fence, "a higher fence was seen")
 			host.fenced.add(id)
-			clock.schedule(SLICE_NEWS_MS, () => {
+			clock.schedule(CLAIM_KNOWN_MS, () => {
 				// The slice may have been handed over meanwhile, with all its runs.
 				if (hosts.get(failureDomain) !== host) return
-				giveExecutors(failureDomain, record => record.id === id)
+				handOverExecutors(failureDomain, record => record.id === id)
 			})
 		},
 		noteClaim({failureDomain: name}) {
@@ -78,7 +78,7 @@
 			const failureDomain = failureDomainOf(name)
 			const others = [...hosts.keys()].filter(placed => placed !== name)
 			for (const placed of others.filter(other => failureDomainOf(other) === failureDomain))
-				giveExecutors(placed, record => !isOwn(placed, record))
+				handOverExecutors(placed, record => !isOwn(placed, record))
 		},
 	}
 }
--- a/packages/jobs/src/coordinate/slices.ts
+++ b/packages/jobs/src/coordinate/slice-routing.ts
@@ -14,7 +14,7 @@
 import type {Claim} from "../types/fleet.js"
 import type {Overflow} from "./overflow.js"
 
-export interface HostSlicesDeps {
+export interface SliceRoutingDeps {
 	readonly clock: Clock
 	readonly leaseRule: LeaseRule
 	readonly view: Pick<FleetView, "sliceCount" | "claimOf">
@@ -23,16 +23,16 @@
 	readonly isTooLarge: (failureDomain: string) => boolean
 }
 
-export interface HostSlices {
+export interface SliceRouting {
 	/** The executors that belong to the slice. */
-	ownOf(name: string, records: readonly ExecutorRecord[]): readonly ExecutorRecord[]
+	ownExecutors(name: string, records: readonly ExecutorRecord[]): readonly ExecutorRecord[]
 	/** Whether the higher fence that an executor has seen may be that of another slice. */
-	mayBeDivided(name: string): boolean
+	mayBeSliced(name: string): boolean
 	/** Hands a run over to the placer that has its executor now. */
-	sendOn(name: string, item: WaitingTask, from: RunLocation): void
+	forwardRun(name: string, item: WaitingTask, from: RunLocation): void
 }
 
-export function createHostSlices(deps: HostSlicesDeps): HostSlices {
+export function createSliceRouting(deps: SliceRoutingDeps): SliceRouting {
 	const {clock, leaseRule, view, overflow} = deps
 
 	/** The claim of the slice that an executor belongs to. */
@@ -42,7 +42,7 @@
 	}
 
 	/** Reports the run as lost once its lease has ended; no placer renews it any more. */
-	function tellWhenOver({req, onEnd}: WaitingTask, executor: string) {
+	function reportLostAfterLease({req, onEnd}: WaitingTask, executor: string) {
 		const now = clock.now()
 		const endAt = certainEndAt(leaseRule, Math.min(now, req.confirmedAt()))
 		const end = {type: "lost", executor, cause: "another placer has its executor"} as const
@@ -50,14 +50,14 @@
 	}
 
 	return {
-		ownOf: (name, records) => executorsOfSlice(name, view.sliceCount(name), records),
-		mayBeDivided: name => view.sliceCount(name) > 1 || deps.isTooLarge(failureDomainOf(name)),
-		sendOn(name, item, from) {
+		ownExecutors: (name, records) => executorsOfSlice(name, view.sliceCount(name), records),
+		mayBeSliced: name => view.sliceCount(name) > 1 || deps.isTooLarge(failureDomainOf(name)),
+		forwardRun(name, item, from) {
 			const claim = from.record && claimFor(name, from.record)
 			const isElsewhere = claim !== undefined && claim.failureDomain !== name
 			// A kept job isn't handed over with its run: its owner stays the same and runs it again.
 			if (isElsewhere && !item.req.isKept) overflow.sendTo(claim, item, from)
-			else tellWhenOver(item, from.executor)
+			else reportLostAfterLease(item, from.executor)
 		},
 	}
 }
--- a/packages/jobs/src/coordinate/slicing.ts
+++ b/packages/jobs/src/coordinate/slicing.ts
@@ -3,12 +3,12 @@
  */
 import {failureDomainOf} from "../decide/slices.js"
 import type {ExecutorRecord} from "../types/executor.js"
-import {createDivision, type DivisionDeps} from "./division.js"
-import {createHostSlices, type HostSlices, type HostSlicesDeps} from "./slices.js"
+import {createSliceAdder, type SliceAdderDeps} from "./slice-adder.js"
+import {createSliceRouting, type SliceRouting, type SliceRoutingDeps} from "./slice-routing.js"
 
-export type SlicingDeps = DivisionDeps & Omit<HostSlicesDeps, "isTooLarge">
+export type SlicingDeps = SliceAdderDeps & Omit<SliceRoutingDeps, "isTooLarge">
 
-export interface Slicing extends HostSlices {
+export interface Slicing extends SliceRouting {
 	/** A slice's executors by the last list. */
 	executorsOf(name: string): readonly ExecutorRecord[]
 	close(): void
@@ -16,16 +16,16 @@
 
 export function createSlicing(deps: SlicingDeps): Slicing {
 	const {view, self, executorsPerPlacer, executorsOf} = deps
-	const hostSlices = createHostSlices({
+	const routing = createSliceRouting({
 		...deps,
 		isTooLarge: domain =>
 			executorsPerPlacer !== undefined && executorsOf(domain).length > executorsPerPlacer,
 	})
-	const division = createDivision(deps)
+	const sliceAdder = createSliceAdder(deps)
 	deps.metrics.gauge("slices", () => view.sliceCount(self.failureDomain))
 	return {
-		...hostSlices,
-		executorsOf: name => hostSlices.ownOf(name, executorsOf(failureDomainOf(name))),
-		close: division.close,
+		...routing,
+		executorsOf: name => routing.ownExecutors(name, executorsOf(failureDomainOf(name))),
+		close: sliceAdder.close,
 	}
 }
--- a/packages/jobs/src/coordinate/task-request.ts
+++ b/packages/jobs/src/coordinate/task-request.ts
@@ -5,7 +5,7 @@
 import type {Step} from "../types/job.js"
 
 /** What is known from a task's runs so far. */
-interface TaskSoFar {
+interface TaskProgress {
 	readonly name: string
 	readonly run: number
 	readonly crashes: CrashCount
@@ -20,7 +20,7 @@
 /** A task request without its times and whether its job has started. */
 export function taskRequestBase(
 	{id, spec}: {readonly id: string; readonly spec: string},
-	{name, run, crashes, avoid}: TaskSoFar,
+	{name, run, crashes, avoid}: TaskProgress,
 	step: Step,
 	{service, priority, advice}: Queue,
 ): RequestBase {
--- a/packages/jobs/src/coordinate/unstarted-jobs.ts
+++ b/packages/jobs/src/coordinate/unstarted-jobs.ts
@@ -31,7 +31,7 @@
 	lateWork(): number
 }
 
-function goesBefore(a: UnstartedJob, b: UnstartedJob): boolean {
+function isBefore(a: UnstartedJob, b: UnstartedJob): boolean {
 	return a.isLate === b.isLate ? a.startBy < b.startBy : b.isLate
 }
 
@@ -41,7 +41,7 @@
 	return {
 		add(item) {
 			let at = inOrder.length
-			while (at > 0 && goesBefore(item, inOrder[at - 1] as UnstartedJob)) at--
+			while (at > 0 && isBefore(item, inOrder[at - 1] as UnstartedJob)) at--
 			inOrder.splice(at, 0, item)
 			if (item.isLate) lateWork += item.work
 		},
--- a/packages/jobs/test/admission.test.ts
+++ b/packages/jobs/test/admission.test.ts
@@ -235,7 +235,7 @@
 			log: silentLog,
 			metrics: createJobMetrics(),
 			confirmedAt: () => clock.now(),
-			isWatched: true,
+			hasAdmission: true,
 			isLate,
 			submit(req, _onEnd, onStart) {
 				submitted.push(req)
--- a/packages/jobs/test/slices.test.ts
+++ b/packages/jobs/test/slices.test.ts
@@ -404,7 +404,7 @@
 			onEnd: ({type}: TaskEnd) => void ends.push(type),
 		}
 		const req = taskRequest("j.0.0.0", {isKept: true})
-		slicing.sendOn("a", {...item, req}, {executor: moved.id, record: moved, isStarted: true})
+		slicing.forwardRun("a", {...item, req}, {executor: moved.id, record: moved, isStarted: true})
 		await clock.advance(LEASE_RULE.longestEndMs)
 		expect(ends).to.eql([])
 		await clock.advance(LEASE_RULE.endsWithinMs - LEASE_RULE.longestEndMs)
--- a/packages/jobs/test/speeds-taken-over.test.ts
+++ b/packages/jobs/test/speeds-taken-over.test.ts
@@ -63,7 +63,7 @@
 		const before = createLife("s1", clock, store)
 		before.hosts.noteClaim(before.claimOf(1))
 		await clock.advance(20)
-		const speeds = before.hosts.of("a")?.speedKeeper?.speeds
+		const speeds = before.hosts.of("a")?.speedStore?.speeds
 		for (let run = 0; run < 15; run++)
 			for (const [id, slowness] of [
 				["e1", 1.6],
@@ -87,7 +87,7 @@
 		const {hosts, claimOf} = createLife("s1", clock, store)
 		hosts.noteClaim(claimOf(1))
 		await clock.advance(20)
-		const speeds = hosts.of("a")?.speedKeeper?.speeds
+		const speeds = hosts.of("a")?.speedStore?.speeds
 		const other = {...claimOf(2), placer: {...claimOf(2).placer, session: "other"}}
 		hosts.noteClaim(other)
 		for (let run = 0; run < 15; run++) speeds?.observe("e1", 3)
