--- a/packages/jobs/src/coordinate/job-run.ts
+++ b/packages/jobs/src/coordinate/job-run.ts
@@ -40,7 +40,7 @@
 	readonly metrics: JobMetrics
 	/** Milliseconds on the monotonic clock: the last time as of which the caller is known to want the job. */
 	readonly confirmedAt: () => number
-	/** Admission watches the job while it waits, so the job itself only ends waiting at its deadline. */
+	/** Admission watches the waiting job, so the job itself waits as long as an answer can be of use. */
 	readonly hasAdmission?: boolean
 	/** The job was admitted late: its tasks go behind those of all jobs that can be on time. */
 	readonly isLate?: boolean
