--- a/packages/jobs/src/coordinate/refusals.ts
+++ b/packages/jobs/src/coordinate/refusals.ts
@@ -26,9 +26,9 @@
 	readonly metrics: JobMetrics
 }
 
-function standingOf({excess: lead}: Share): "above" | "even" | "below" {
-	if (Math.abs(lead) <= EVEN_EXCESS) return "even"
-	return lead > 0 ? "above" : "below"
+function standingOf({excess}: Share): "above" | "even" | "below" {
+	if (Math.abs(excess) <= EVEN_EXCESS) return "even"
+	return excess > 0 ? "above" : "below"
 }
 
 const finiteMs = (ms: number) => (Number.isFinite(ms) ? Math.round(ms) : undefined)
--- a/packages/jobs/test/replayed-load.test.ts
+++ b/packages/jobs/test/replayed-load.test.ts
@@ -3,13 +3,13 @@
  * with the decision that it guards, over these seeds.
  */
 import {expect} from "chai"
-import {replay, type ReplayDay, type ReplayFigures} from "./support/replay/replay-day.js"
+import {replay, type ReplayScenario, type ReplayResult} from "./support/replay/replay-scenario.js"
 import {PAIRED_WORK} from "./support/replay/replay-work.js"
 
 const SEEDS = [1, 2, 3, 4, 5, 6]
 
-async function replayAll(day: ReplayDay): Promise<readonly ReplayFigures[]> {
-	const all: ReplayFigures[] = []
+async function replayAll(day: ReplayScenario): Promise<readonly ReplayResult[]> {
+	const all: ReplayResult[] = []
 	for (const seed of SEEDS) all.push(await replay(day, seed))
 	// Under any load no task runs twice at once and no executor is overfilled.
 	for (const {doubled, overfilled} of all)
@@ -17,30 +17,30 @@
 	return all
 }
 
-const mean = (all: readonly ReplayFigures[], figure: (one: ReplayFigures) => number) =>
+const mean = (all: readonly ReplayResult[], figure: (one: ReplayResult) => number) =>
 	all.reduce((sum, one) => sum + figure(one), 0) / all.length
 
-function print(name: string, all: readonly ReplayFigures[]) {
-	const text = (figure: (one: ReplayFigures) => number) => mean(all, figure).toFixed(3)
+function print(name: string, all: readonly ReplayResult[]) {
+	const format = (figure: (one: ReplayResult) => number) => mean(all, figure).toFixed(3)
 	const kinds = ["short", "middle", "long"].map(
-		kind => `${kind} ${text(one => one.kinds[kind] ?? 0)}`,
+		kind => `${kind} ${format(one => one.kinds[kind] ?? 0)}`,
 	)
-	console.log(`        ${name}: worth ${text(one => one.worth)}, ${kinds.join(", ")}`)
+	console.log(`        ${name}: worth ${format(one => one.score)}, ${kinds.join(", ")}`)
 }
 
 describe("replayed load", () => {
 	it("is served whole on a calm day", async () => {
-		const all = await replayAll({jobsPerSecond: 92, lengthMs: 6_000, troubles: []})
+		const all = await replayAll({jobsPerSecond: 92, lengthMs: 6_000, disturbances: []})
 		print("calm", all)
-		expect(mean(all, ({worth}) => worth)).to.be.greaterThan(0.96)
+		expect(mean(all, ({score}) => score)).to.be.greaterThan(0.96)
 		expect(mean(all, ({refused}) => refused)).to.be.lessThan(0.01)
 	})
 
 	it("gives the same figures for the same seed", async () => {
-		const day: ReplayDay = {
+		const day: ReplayScenario = {
 			jobsPerSecond: 92,
 			lengthMs: 2_000,
-			troubles: [{type: "late orders", at: 500, forMs: 1_000, share: 0.05}],
+			disturbances: [{type: "late orders", at: 500, forMs: 1_000, share: 0.05}],
 		}
 		expect(await replay(day, 7)).to.eql(await replay(day, 7))
 	})
@@ -49,22 +49,22 @@
 		const all = await replayAll({
 			jobsPerSecond: 92,
 			lengthMs: 8_000,
-			troubles: [{type: "late orders", at: 2_000, forMs: 4_700, share: 0.036}],
+			disturbances: [{type: "late orders", at: 2_000, forMs: 4_700, share: 0.036}],
 		})
 		print("3.6% of orders lost", all)
 		expect(mean(all, ({kinds}) => kinds["short"] ?? 0)).to.be.greaterThan(0.85)
-		expect(mean(all, ({worth}) => worth)).to.be.greaterThan(0.91)
+		expect(mean(all, ({score}) => score)).to.be.greaterThan(0.91)
 	})
 
 	it("of 1.5 times the usual rate is refused where it is least urgent", async () => {
 		const all = await replayAll({
 			jobsPerSecond: 97,
 			lengthMs: 8_000,
-			troubles: [{type: "surge", at: 1_000, forMs: 6_000, times: 1.5}],
+			disturbances: [{type: "surge", at: 1_000, forMs: 6_000, times: 1.5}],
 		})
 		print("1.5 times the load", all)
 		expect(mean(all, ({kinds}) => kinds["short"] ?? 0)).to.be.greaterThan(0.71)
-		expect(mean(all, ({worth}) => worth)).to.be.greaterThan(0.805)
+		expect(mean(all, ({score}) => score)).to.be.greaterThan(0.805)
 		// Callers are refused at once instead of served late.
 		expect(mean(all, ({late}) => late)).to.be.lessThan(0.08)
 	})
@@ -73,21 +73,21 @@
 		const all = await replayAll({
 			jobsPerSecond: 97,
 			lengthMs: 10_000,
-			troubles: [
+			disturbances: [
 				{type: "surge", at: 2_000, forMs: 4_000, times: 1.25},
 				{type: "surge", at: 3_500, forMs: 3_100, times: 1.8, kind: "long"},
 				{type: "crash", at: 4_200, forMs: 4_200, share: 0.16},
 			],
 		})
 		print("surge and crash", all)
-		expect(mean(all, ({worth}) => worth)).to.be.greaterThan(0.82)
+		expect(mean(all, ({score}) => score)).to.be.greaterThan(0.82)
 	})
 
 	it("of a domain that is cut off from the others is served there", async () => {
 		const all = await replayAll({
 			jobsPerSecond: 92,
 			lengthMs: 6_000,
-			troubles: [{type: "cut", at: 1_000, forMs: 4_000, failureDomain: "a"}],
+			disturbances: [{type: "cut", at: 1_000, forMs: 4_000, failureDomain: "a"}],
 		})
 		print("a domain cut off", all)
 		expect(mean(all, ({domains}) => domains["a"] ?? 0)).to.be.greaterThan(0.88)
@@ -104,7 +104,7 @@
 	const leastOf = (shares: Readonly<Record<string, number>>) => Math.min(...Object.values(shares))
 
 	it("of pairs that fill an executor, in waves that move from domain to domain, is served", async () => {
-		const all = await replayAll({...paired, jobsPerSecond: 150, troubles: []})
+		const all = await replayAll({...paired, jobsPerSecond: 150, disturbances: []})
 		print("pairs in waves", all)
 		expect(mean(all, ({kinds}) => leastOf(kinds))).to.be.greaterThan(LEAST_SHARE)
 		expect(mean(all, ({domains}) => leastOf(domains))).to.be.greaterThan(LEAST_SHARE)
@@ -114,7 +114,7 @@
 		const all = await replayAll({
 			...paired,
 			jobsPerSecond: 110,
-			troubles: [{type: "evacuation", at: 1_500, forMs: 5_000, failureDomain: "a"}],
+			disturbances: [{type: "evacuation", at: 1_500, forMs: 5_000, failureDomain: "a"}],
 		})
 		print("a domain emptied", all)
 		expect(mean(all, ({kinds}) => leastOf(kinds))).to.be.greaterThan(LEAST_SHARE)
@@ -126,22 +126,22 @@
 	 * domain's placer, one domain has four times the demand, and the waves are out of phase.
 	 */
 	it("of a domain with four times the demand moves to the others as whole jobs", async () => {
-		const uneven: ReplayDay = {
+		const uneven: ReplayScenario = {
 			work: {...PAIRED_WORK, swing: 0.5, swingPeriodMs: 3_000},
 			executorsPerDomain: 15,
 			jobsPerSecond: 110,
 			demand: [2, 0.5, 0.5],
 			hasEntries: true,
 			lengthMs: 6_000,
-			troubles: [],
+			disturbances: [],
 		}
 		const stay = await replayAll(uneven)
 		const go = await replayAll({...uneven, crossDomainMs: 8})
 		print("uneven, jobs stay", stay)
 		print("uneven, jobs go", go)
-		const inTime = (all: readonly ReplayFigures[]) => mean(all, one => one.inTime)
-		const refused = (all: readonly ReplayFigures[]) => mean(all, one => one.refused)
-		const calls = (all: readonly ReplayFigures[]) =>
+		const inTime = (all: readonly ReplayResult[]) => mean(all, one => one.inTime)
+		const refused = (all: readonly ReplayResult[]) => mean(all, one => one.refused)
+		const calls = (all: readonly ReplayResult[]) =>
 			mean(all, ({movedJobs, movedTasks}) => movedJobs + movedTasks)
 		expect(inTime(go)).to.be.greaterThan(inTime(stay) + 0.01)
 		expect(refused(go)).to.be.lessThan(0.75 * refused(stay))
--- a/packages/jobs/test/support/replay/replay-executor.ts
+++ b/packages/jobs/test/support/replay/replay-executor.ts
@@ -49,7 +49,7 @@
 }
 
 /** One-way latency between a placer and an executor of its domain, with processing on both sides. */
-const WAY_MS = 0.6
+const LATENCY_MS = 0.6
 const LATE_MS = 300
 const STOP_MS = 5
 
@@ -116,7 +116,7 @@
 
 	async hold(order: HoldOrder, timeoutMs: number): Promise<HoldReply> {
 		const sentAt = this.clock.now()
-		await this.clock.sleep(WAY_MS)
+		await this.clock.sleep(LATENCY_MS)
 		if (this.faults.isDead || this.isLeftUnanswered()) return this.silence(timeoutMs, sentAt)
 		if (order.fence < this.fence) return {type: "fenced"}
 		this.fence = order.fence
@@ -135,20 +135,20 @@
 			running,
 			ends: [...this.ends],
 		}
-		await this.clock.sleep(WAY_MS)
+		await this.clock.sleep(LATENCY_MS)
 		return held
 	}
 
 	private async answered<T extends Reply<unknown>>(timeoutMs: number, carryOut: () => T) {
 		const sentAt = this.clock.now()
-		await this.clock.sleep(WAY_MS)
+		await this.clock.sleep(LATENCY_MS)
 		if (this.faults.isDead) return this.silence(timeoutMs, sentAt)
 		if (this.isLeftUnanswered()) {
 			this.clock.schedule(LATE_MS, () => void (this.faults.isDead || carryOut()))
 			return this.silence(timeoutMs, sentAt)
 		}
 		const reply = carryOut()
-		await this.clock.sleep(WAY_MS)
+		await this.clock.sleep(LATENCY_MS)
 		return reply
 	}
 
--- a/packages/jobs/test/support/replay/replay-load.ts
+++ b/packages/jobs/test/support/replay/replay-load.ts
@@ -12,7 +12,7 @@
 	readonly steps: readonly Step[]
 	/** Based on the actual run times. */
 	readonly objectiveMs: number
-	readonly worth: number
+	readonly credit: number
 }
 
 const WIDTH_SPREAD = 0.4
@@ -63,7 +63,7 @@
 			},
 		],
 		objectiveMs: STRETCH * Math.max(...ran) + SLACK_MS,
-		worth: kind.worth * Math.min(4, 0.3 + 0.7 * work),
+		credit: kind.credit * Math.min(4, 0.3 + 0.7 * work),
 	}
 }
 
--- a/packages/jobs/test/support/replay/replay-day.ts
+++ b/packages/jobs/test/support/replay/replay-scenario.ts
@@ -14,7 +14,7 @@
 	type ReplayWorldOptions,
 } from "./replay-world.js"
 
-export type ReplayTrouble = {
+export type ReplayDisturbance = {
 	readonly at: number
 	readonly forMs: number
 } &
@@ -33,7 +33,7 @@
 		| {readonly type: "evacuation"; readonly failureDomain: string}
 	)
 
-export interface ReplayDay {
+export interface ReplayScenario {
 	/** `EARLIER_WORK` by default. */
 	readonly work?: ReplayWork
 	readonly failureDomains?: readonly string[]
@@ -46,7 +46,7 @@
 	/** Callers reach instances that place nothing themselves. */
 	readonly hasEntries?: boolean
 	readonly lengthMs: number
-	readonly troubles: readonly ReplayTrouble[]
+	readonly disturbances: readonly ReplayDisturbance[]
 	/** How a domain's executor speeds are stored; by default each placer learns them for itself. */
 	readonly keepSpeeds?: ReplayWorldOptions["keepSpeeds"]
 	/** Jobs are judged by forecasts. */
@@ -55,7 +55,7 @@
 }
 
 /** Ratios of earned to possible credit; a late answer earns a fifth. */
-export interface ReplayFigures {
+export interface ReplayResult {
 	readonly whole: number
 	readonly kinds: Readonly<Record<string, number>>
 	readonly domains: Readonly<Record<string, number>>
@@ -68,7 +68,7 @@
 	readonly refused: number
 	readonly failed: number
 	/** Weighted mean of the whole and of the worst kind, domain and seconds: one figure to compare by. */
-	readonly worth: number
+	readonly score: number
 	readonly wastedCoreSeconds: number
 	readonly doubled: number
 	readonly overfilled: number
@@ -87,29 +87,29 @@
 const DEAD_LISTED_MS = 3_000
 const WEIGHTS = Object.freeze({whole: 0.32, kind: 0.24, domain: 0.36, seconds: 0.08})
 
-interface Told {
+interface JudgedJob {
 	readonly job: ReplayJob
 	readonly credit: number
 	readonly outcome: "inTime" | "late" | "refused" | "failed"
 }
 
-function judge(job: ReplayJob, type: string, tookMs: number): Told {
+function judgeJob(job: ReplayJob, type: string, tookMs: number): JudgedJob {
 	if (type === "refused") return {job, credit: 0, outcome: "refused"}
 	const isUseless = tookMs > job.objectiveMs * USELESS_OBJECTIVES
 	if (type !== "completed" || isUseless) return {job, credit: 0, outcome: "failed"}
-	if (tookMs > job.objectiveMs) return {job, credit: LATE_SHARE * job.worth, outcome: "late"}
-	return {job, credit: job.worth, outcome: "inTime"}
+	if (tookMs > job.objectiveMs) return {job, credit: LATE_SHARE * job.credit, outcome: "late"}
+	return {job, credit: job.credit, outcome: "inTime"}
 }
 
-function shareOf(told: readonly Told[]): number {
-	const owed = told.reduce((sum, {job}) => sum + job.worth, 0)
-	return owed === 0 ? 1 : told.reduce((sum, {credit}) => sum + credit, 0) / owed
+function creditRatio(judged: readonly JudgedJob[]): number {
+	const owed = judged.reduce((sum, {job}) => sum + job.credit, 0)
+	return owed === 0 ? 1 : judged.reduce((sum, {credit}) => sum + credit, 0) / owed
 }
 
-function groupsOf(told: readonly Told[], keyOf: (one: Told) => string) {
+function groupsOf(judged: readonly JudgedJob[], keyOf: (one: JudgedJob) => string) {
 	const groups: Record<string, number> = {}
-	for (const key of new Set(told.map(keyOf)))
-		groups[key] = shareOf(told.filter(one => keyOf(one) === key))
+	for (const key of new Set(judged.map(keyOf)))
+		groups[key] = creditRatio(judged.filter(one => keyOf(one) === key))
 	return groups
 }
 
@@ -119,23 +119,23 @@
 	return lines.reduce((sum, line) => sum + Number(line.split(" ").at(-1)), 0)
 }
 
-async function figuresOf(told: readonly Told[], world: ReplayWorld): Promise<ReplayFigures> {
+async function resultOf(judged: readonly JudgedJob[], world: ReplayWorld): Promise<ReplayResult> {
 	const counters = await world.counters()
-	const whole = shareOf(told)
-	const kinds = groupsOf(told, ({job}) => job.kind.name)
-	const domains = groupsOf(told, ({job}) => job.failureDomain)
-	const isServed = ({outcome}: Told) => outcome === "inTime" || outcome === "late"
+	const whole = creditRatio(judged)
+	const kinds = groupsOf(judged, ({job}) => job.kind.name)
+	const domains = groupsOf(judged, ({job}) => job.failureDomain)
+	const isServed = ({outcome}: JudgedJob) => outcome === "inTime" || outcome === "late"
 	const served: Record<string, number> = {}
 	for (const kind of Object.keys(kinds)) {
-		const ofKind = told.filter(({job}) => job.kind.name === kind)
+		const ofKind = judged.filter(({job}) => job.kind.name === kind)
 		served[kind] = ofKind.filter(isServed).length / ofKind.length
 	}
-	const windows = Object.values(groupsOf(told, ({job}) => String(Math.floor(job.at / WINDOW_MS))))
+	const windows = Object.values(groupsOf(judged, ({job}) => String(Math.floor(job.at / WINDOW_MS))))
 	const [worst = 1, next = worst] = windows.sort((a, b) => a - b)
 	const worstSeconds = (worst + next) / 2
 	const worstOf = (groups: Readonly<Record<string, number>>) => Math.min(...Object.values(groups))
-	const share = (outcome: Told["outcome"]) =>
-		told.filter(one => one.outcome === outcome).length / told.length
+	const share = (outcome: JudgedJob["outcome"]) =>
+		judged.filter(one => one.outcome === outcome).length / judged.length
 	const {executors} = world
 	return {
 		whole,
@@ -147,7 +147,7 @@
 		late: share("late"),
 		refused: share("refused"),
 		failed: share("failed"),
-		worth:
+		score:
 			WEIGHTS.whole * whole +
 			WEIGHTS.kind * worstOf(kinds) +
 			WEIGHTS.domain * worstOf(domains) +
@@ -161,7 +161,11 @@
 }
 
 /** A random share of the executors that are alive. */
-function pick(world: ReplayWorld, share: number, random: () => number): readonly ReplayExecutor[] {
+function pickExecutors(
+	world: ReplayWorld,
+	share: number,
+	random: () => number,
+): readonly ReplayExecutor[] {
 	const sound = world.executors.filter(({faults}) => !faults.isDead)
 	const chosen: ReplayExecutor[] = []
 	for (let left = Math.round(sound.length * share); left > 0; left--)
@@ -171,25 +175,30 @@
 
 type Clock = ReturnType<typeof createReplayClock>
 
-function arrange(world: ReplayWorld, clock: Clock, trouble: ReplayTrouble, random: () => number) {
+function scheduleDisturbance(
+	world: ReplayWorld,
+	clock: Clock,
+	disturbance: ReplayDisturbance,
+	random: () => number,
+) {
 	const during = (begin: () => () => void) =>
-		clock.schedule(trouble.at, () => {
+		clock.schedule(disturbance.at, () => {
 			const end = begin()
-			clock.schedule(trouble.forMs, end)
+			clock.schedule(disturbance.forMs, end)
 		})
-	const struck = (share: number, change: Parameters<ReplayExecutor["setFault"]>[0]) =>
+	const duringFault = (share: number, change: Parameters<ReplayExecutor["setFault"]>[0]) =>
 		during(() => {
-			const chosen = pick(world, share, random)
+			const chosen = pickExecutors(world, share, random)
 			const before = chosen.map(({faults}) => ({...faults}))
 			for (const executor of chosen) executor.setFault(change)
 			return () => chosen.forEach((executor, at) => executor.setFault(before[at] ?? {}))
 		})
-	switch (trouble.type) {
+	switch (disturbance.type) {
 		case "surge":
 			return
 		case "crash":
 			return during(() => {
-				const chosen = pick(world, trouble.share, random)
+				const chosen = pickExecutors(world, disturbance.share, random)
 				for (const executor of chosen) {
 					executor.setFault({isDead: true})
 					clock.schedule(DEAD_LISTED_MS, () => world.setListed(executor, false))
@@ -198,38 +207,39 @@
 					clock.schedule(RETURN_LISTED_MS, () => chosen.forEach(one => world.replace(one)))
 			})
 		case "hang":
-			return struck(trouble.share, {isHanging: true})
+			return duringFault(disturbance.share, {isHanging: true})
 		case "slow":
-			return struck(trouble.share, {slowness: trouble.times})
+			return duringFault(disturbance.share, {slowness: disturbance.times})
 		case "late orders":
-			return struck(1, {lateShare: trouble.share})
+			return duringFault(1, {lateShare: disturbance.share})
 		case "failing":
-			return struck(trouble.share, {failShare: 1})
+			return duringFault(disturbance.share, {failShare: 1})
 		case "evacuation":
 			return during(() => {
-				world.setEvacuated(trouble.failureDomain, true)
-				return () => world.setEvacuated(trouble.failureDomain, false)
+				world.setEvacuated(disturbance.failureDomain, true)
+				return () => world.setEvacuated(disturbance.failureDomain, false)
 			})
 		case "cut":
 			return during(() => {
-				world.setCut(trouble.failureDomain, true)
-				return () => world.setCut(trouble.failureDomain, false)
+				world.setCut(disturbance.failureDomain, true)
+				return () => world.setCut(disturbance.failureDomain, false)
 			})
 	}
 }
 
 /** Factor on the rate of a kind of job at a time. */
-function surgeOf(troubles: readonly ReplayTrouble[]) {
+function surgeOf(disturbances: readonly ReplayDisturbance[]) {
 	return (at: number, kind: ReplayKind) =>
-		troubles.reduce((times, trouble) => {
-			if (trouble.type !== "surge" || (trouble.kind && trouble.kind !== kind.name)) return times
-			const isNow = at >= trouble.at && at < trouble.at + trouble.forMs
-			return isNow ? times * trouble.times : times
+		disturbances.reduce((times, disturbance) => {
+			if (disturbance.type !== "surge" || (disturbance.kind && disturbance.kind !== kind.name))
+				return times
+			const isNow = at >= disturbance.at && at < disturbance.at + disturbance.forMs
+			return isNow ? times * disturbance.times : times
 		}, 1)
 }
 
 /** Replays one seed of a day. The same seed gives the same jobs and faults. */
-export async function replay(day: ReplayDay, seed: number): Promise<ReplayFigures> {
+export async function replay(day: ReplayScenario, seed: number): Promise<ReplayResult> {
 	const clock = createReplayClock()
 	const {work = EARLIER_WORK, failureDomains = ["a", "b", "c"]} = day
 	const jobs = drawJobs(
@@ -239,7 +249,7 @@
 			jobsPerSecond: day.jobsPerSecond,
 			demand: day.demand,
 			lengthMs: day.lengthMs,
-			surge: surgeOf(day.troubles),
+			surge: surgeOf(day.disturbances),
 		},
 		seededRandom(seed),
 	)
@@ -256,13 +266,14 @@
 		shares: day.shares,
 	})
 	await clock.runUntil(LEAD_MS)
-	const luck = seededRandom(seed + 2_000_003)
-	for (const trouble of day.troubles) arrange(world, clock, trouble, luck)
-	const told: Told[] = []
+	const faultRandom = seededRandom(seed + 2_000_003)
+	for (const disturbance of day.disturbances)
+		scheduleDisturbance(world, clock, disturbance, faultRandom)
+	const judged: JudgedJob[] = []
 	for (const job of jobs)
 		clock.schedule(job.at, () => {
-			void world.submit(job).then(({end, tookMs}) => told.push(judge(job, end.type, tookMs)))
+			void world.submit(job).then(({end, tookMs}) => judged.push(judgeJob(job, end.type, tookMs)))
 		})
 	await clock.runUntil(LEAD_MS + day.lengthMs + TAIL_MS)
-	return figuresOf(told, world)
+	return resultOf(judged, world)
 }
--- a/packages/jobs/test/support/replay/replay-work.ts
+++ b/packages/jobs/test/support/replay/replay-work.ts
@@ -15,7 +15,7 @@
 	/** Run time of a task, on average. */
 	readonly workMs: number
 	/** Credit of a job of average work that is on time. */
-	readonly worth: number
+	readonly credit: number
 }
 
 export interface ReplayWork {
@@ -39,9 +39,9 @@
  */
 export const EARLIER_WORK: ReplayWork = {
 	kinds: [
-		{name: "short", priority: 0, weight: 0.245, width: 8, workMs: 60, worth: 0.0291},
-		{name: "long", priority: 2, weight: 0.044, width: 4, workMs: 900, worth: 0.16},
-		{name: "middle", priority: 1, weight: 0.711, width: 2, workMs: 200, worth: 0.01},
+		{name: "short", priority: 0, weight: 0.245, width: 8, workMs: 60, credit: 0.0291},
+		{name: "long", priority: 2, weight: 0.044, width: 4, workMs: 900, credit: 0.16},
+		{name: "middle", priority: 1, weight: 0.711, width: 2, workMs: 200, credit: 0.01},
 	],
 	meanCpu: 27_000,
 	maxCpu: 41_000,
@@ -54,9 +54,9 @@
 /** More long tasks, in sizes of which two fit an executor only every other time; waves move from domain to domain. */
 export const PAIRED_WORK: ReplayWork = {
 	kinds: [
-		{name: "short", priority: 0, weight: 0.236, width: 8, workMs: 60, worth: 0.00485},
-		{name: "long", priority: 2, weight: 0.0746, width: 4, workMs: 900, worth: 0.0267},
-		{name: "middle", priority: 1, weight: 0.689, width: 2, workMs: 200, worth: 0.00167},
+		{name: "short", priority: 0, weight: 0.236, width: 8, workMs: 60, credit: 0.00485},
+		{name: "long", priority: 2, weight: 0.0746, width: 4, workMs: 900, credit: 0.0267},
+		{name: "middle", priority: 1, weight: 0.689, width: 2, workMs: 200, credit: 0.00167},
 	],
 	meanCpu: 16_000,
 	maxCpu: 32_000,
@@ -69,9 +69,9 @@
 /** Executors of three speeds and two sizes, waves of demand, and tasks with long tails. */
 export const UNEVEN_WORK: ReplayWork = {
 	kinds: [
-		{name: "short", priority: 0, weight: 0.244, width: 8, workMs: 51, worth: 0.00485},
-		{name: "long", priority: 2, weight: 0.0444, width: 4, workMs: 760, worth: 0.0267},
-		{name: "middle", priority: 1, weight: 0.7116, width: 2, workMs: 170, worth: 0.00167},
+		{name: "short", priority: 0, weight: 0.244, width: 8, workMs: 51, credit: 0.00485},
+		{name: "long", priority: 2, weight: 0.0444, width: 4, workMs: 760, credit: 0.0267},
+		{name: "middle", priority: 1, weight: 0.7116, width: 2, workMs: 170, credit: 0.00167},
 	],
 	meanCpu: 16_000,
 	maxCpu: 32_000,
--- a/packages/jobs/test/support/replay/replay-world.ts
+++ b/packages/jobs/test/support/replay/replay-world.ts
@@ -40,9 +40,9 @@
 import {queuesOf, type ReplayWork} from "./replay-work.js"
 
 /** One-way latency between two instances, with processing on both sides. */
-const PEER_WAY_MS = 1.2
+const PEER_LATENCY_MS = 1.2
 /** One-way latency between a caller and its instance. */
-const CALLER_WAY_MS = 3.5
+const CALLER_LATENCY_MS = 3.5
 const DEADLINE_MS = 1_500
 /** Interval of a call's confirmations. */
 const CONFIRM_MS = 100
@@ -190,18 +190,18 @@
 				resolve(value)
 			}
 			clock.schedule(timeoutMs, () => settle(undefined))
-			clock.schedule(PEER_WAY_MS, () => {
+			clock.schedule(PEER_LATENCY_MS, () => {
 				const instance = instances.get(to)
 				if (!instance || isApart(from, to)) return
 				void run(instance, caller).then(value => {
 					if (isApart(from, to)) return
-					clock.schedule(PEER_WAY_MS, () => settle(value))
+					clock.schedule(PEER_LATENCY_MS, () => settle(value))
 				})
 			})
 		})
 		const cancel = () => {
 			if (isOver) return
-			clock.schedule(PEER_WAY_MS, () => {
+			clock.schedule(PEER_LATENCY_MS, () => {
 				if (!isApart(from, to)) for (const listener of listeners) listener()
 			})
 		}
@@ -317,7 +317,7 @@
 			...common,
 			send(address, message) {
 				const to = instanceAt(address)
-				clock.schedule(PEER_WAY_MS, () => {
+				clock.schedule(PEER_LATENCY_MS, () => {
 					if (!isApart(id, to)) instances.get(to)?.beats.receive(message)
 				})
 			},
@@ -344,7 +344,7 @@
 		doubled,
 		async submit(job) {
 			const sentAt = clock.now()
-			await clock.sleep(CALLER_WAY_MS)
+			await clock.sleep(CALLER_LATENCY_MS)
 			const receivedAt = clock.now()
 			const queue = queueOf(job.kind.name)
 			const handedIn: Job = {
@@ -359,7 +359,7 @@
 			const instance = instances.get(prefix + job.failureDomain) as Instance
 			const caller = {...STAYING, madeAt: receivedAt, confirmedAt: () => clock.now()}
 			const end = await instance.dispatcher.dispatch(handedIn, queue, caller)
-			await clock.sleep(CALLER_WAY_MS)
+			await clock.sleep(CALLER_LATENCY_MS)
 			return {end, tookMs: clock.now() - sentAt}
 		},
 		setCut(failureDomain, isCut) {
--- a/packages/jobs/test/support/sliced-domain.ts
+++ b/packages/jobs/test/support/sliced-domain.ts
@@ -43,9 +43,9 @@
 import {LEASE_RULE, NO_ADVISOR, NO_KEPT_RUNS, QUEUE} from "./requests.js"
 
 const DOMAIN = "a"
-const WAY_MS = 1
+const LATENCY_MS = 1
 /** Interval at which an instance reads the store's changes. */
-const NEWS_MS = 20
+const STORE_READ_MS = 20
 const PING_TIMEOUT_MS = 350
 /** Two tasks of this size fill an executor. */
 const NEED = {cpu: 27_000, memoryMb: 64, accelerators: 0}
@@ -149,8 +149,8 @@
 		): PeerCall<T> {
 			const isUnsent = at(address) === undefined
 			const reply = new Promise<T | undefined>(resolve => {
-				clock.schedule(isUnsent ? WAY_MS : timeoutMs, () => resolve(undefined))
-				clock.schedule(WAY_MS, () => {
+				clock.schedule(isUnsent ? LATENCY_MS : timeoutMs, () => resolve(undefined))
+				clock.schedule(LATENCY_MS, () => {
 					const there = at(address)
 					if (there) void ask(there).then(answer => at(address) && !from.deaf && resolve(answer))
 				})
@@ -230,7 +230,7 @@
 			send(address, message) {
 				const there = instances.get(address.split(":")[0] as string)
 				if (is.dead || is.cutFromPeers) return
-				clock.schedule(WAY_MS, () => {
+				clock.schedule(LATENCY_MS, () => {
 					if (there && !there.is.dead && !there.is.cutFromPeers) there.beats.receive(message)
 				})
 			},
@@ -275,13 +275,13 @@
 			ownLateMs: () => 0,
 			isEvacuated,
 		})
-		function hearStore() {
+		function readStore() {
 			if (!is.dead && !is.cutFromStore) view.applyListing([...fake.items.values()])
-			clock.schedule(NEWS_MS, hearStore)
+			clock.schedule(STORE_READ_MS, readStore)
 		}
 		fake.write(memberKey(name), self)
 		instances.set(name, {self, hosts, beats, claims, handover, dispatcher, view, is})
-		hearStore()
+		readStore()
 	}
 
 	for (let at = 1; at <= options.instances; at++) addInstance(`a-${at}`)
--- a/packages/jobs/test/uneven-executors.test.ts
+++ b/packages/jobs/test/uneven-executors.test.ts
@@ -12,7 +12,7 @@
 import {createFakeClock} from "./support/fake-clock.js"
 import {FakeExecutors, record} from "./support/fake-executors.js"
 import {createTestPlacer} from "./support/placers.js"
-import {replay, type ReplayDay, type ReplayFigures} from "./support/replay/replay-day.js"
+import {replay, type ReplayScenario, type ReplayResult} from "./support/replay/replay-scenario.js"
 import {UNEVEN_WORK} from "./support/replay/replay-work.js"
 import {taskRequest} from "./support/requests.js"
 
@@ -105,14 +105,14 @@
 	})
 
 	/** The first second after a loss of all, at a crest: placers that know nothing, and placers that were told. */
-	const CREST: ReplayDay = {
+	const CREST: ReplayScenario = {
 		work: UNEVEN_WORK,
 		executorsPerDomain: 18,
 		jobsPerSecond: 230,
 		lengthMs: 1_000,
-		troubles: [],
+		disturbances: [],
 	}
-	const toldSpeeds: ReplayDay["keepSpeeds"] = (clock, executors) => {
+	const toldSpeeds: ReplayScenario["keepSpeeds"] = (clock, executors) => {
 		const speeds = createPersistentSpeeds(() => clock.now())
 		const pairs = executors.map(({record: {id}, faults}) => [id, faults.slowness] as const)
 		inherit(speeds, Object.fromEntries(pairs))
@@ -120,15 +120,15 @@
 	}
 	const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8]
 
-	async function replayAll(day: ReplayDay): Promise<readonly ReplayFigures[]> {
-		const all: ReplayFigures[] = []
+	async function replayAll(day: ReplayScenario): Promise<readonly ReplayResult[]> {
+		const all: ReplayResult[] = []
 		for (const seed of SEEDS) all.push(await replay(day, seed))
 		for (const {doubled, overfilled} of all)
 			expect({doubled, overfilled}).to.eql({doubled: 0, overfilled: 0})
 		return all
 	}
 
-	const sumOf = (all: readonly ReplayFigures[], figure: (one: ReplayFigures) => number) =>
+	const sumOf = (all: readonly ReplayResult[], figure: (one: ReplayResult) => number) =>
 		all.reduce((sum, one) => sum + figure(one), 0)
 
 	it("serve more jobs in time from the first second on when their speeds are known", async () => {
@@ -138,7 +138,7 @@
 			["learnt anew", learnt],
 			["told", told],
 		] as const) {
-			const text = (figure: (one: ReplayFigures) => number) =>
+			const text = (figure: (one: ReplayResult) => number) =>
 				(sumOf(all, figure) / all.length).toFixed(3)
 			const credit = text(({whole}) => whole)
 			const shares = `in time ${text(({inTime}) => inTime)}, late ${text(({late}) => late)}`
