--- a/packages/jobs/test/replayed-load.test.ts
+++ b/packages/jobs/test/replayed-load.test.ts
@@ -25,7 +25,7 @@
 	const kinds = ["short", "middle", "long"].map(
 		kind => `${kind} ${format(one => one.kinds[kind] ?? 0)}`,
 	)
-	console.log(`        ${name}: worth ${format(one => one.score)}, ${kinds.join(", ")}`)
+	console.log(`        ${name}: score ${format(one => one.score)}, ${kinds.join(", ")}`)
 }
 
 describe("replayed load", () => {
