--- a/packages/jobs/test/counted-rooms.test.ts
+++ b/packages/jobs/test/counted-rooms.test.ts
@@ -17,19 +17,19 @@
 	const claim: Claim = {failureDomain: "b", fence: 1, placer}
 	view.noteClaim(claim)
 	const rooms = createRoomEstimates(clock, view, countsInFlight)
-	const tell = () => {
+	const report = () => {
 		const room = {freeCpu: [16_000, 8_000], totalCpu: 64_000, waitingWork: 0}
 		view.applyRoomUpdate({session: "b-s", rooms: {b: room}})
 	}
 	const send = () => rooms.deduct("b", {tasks: 2, cpu: 8_000, work: 100})
-	return {clock, rooms, tell, send}
+	return {clock, rooms, report, send}
 }
 
 describe("room estimates", () => {
 	it("are the report less what was sent since, and none once the report is old", async () => {
-		const {clock, rooms, tell, send} = createWorld(true)
+		const {clock, rooms, report, send} = createWorld(true)
 		expect(rooms.of("b")).to.equal(undefined)
-		tell()
+		report()
 		send()
 		expect(rooms.of("b")).to.deep.include({freeCpu: [8_000, 0], sentCpu: 16_000, sentWork: 100})
 		await clock.advance(501)
@@ -38,31 +38,31 @@
 
 	/* Guards against using the same room twice: a report may not include work that was still on its way. */
 	it("still deduct what was sent just before a new report", async () => {
-		const {clock, rooms, tell, send} = createWorld(true)
-		tell()
+		const {clock, rooms, report, send} = createWorld(true)
+		report()
 		send()
 		await clock.advance(3)
-		tell()
+		report()
 		expect(rooms.of("b")?.freeCpu).to.eql([8_000, 0])
 		await clock.advance(6)
-		tell()
+		report()
 		expect(rooms.of("b")?.freeCpu).to.eql([16_000, 8_000])
 	})
 
 	it("are reset by each report when only tasks are sent", async () => {
-		const {rooms, tell, send} = createWorld(false)
-		tell()
+		const {rooms, report, send} = createWorld(false)
+		report()
 		send()
-		tell()
+		report()
 		expect(rooms.of("b")?.freeCpu).to.eql([16_000, 8_000])
 	})
 
 	it("are none until the next report after a failed call", () => {
-		const {rooms, tell} = createWorld(true)
-		tell()
+		const {rooms, report} = createWorld(true)
+		report()
 		rooms.close("b")
 		expect(rooms.of("b")?.freeCpu).to.eql([])
-		tell()
+		report()
 		expect(rooms.of("b")?.freeCpu).to.eql([16_000, 8_000])
 	})
 })
--- a/packages/jobs/test/elsewhere.test.ts
+++ b/packages/jobs/test/elsewhere.test.ts
@@ -43,7 +43,7 @@
 	const self = member(own)
 	const evacuated = new Set<string>()
 	const isEvacuated = (domain: string) => evacuated.has(domain)
-	const byTasks: WaitingTask[] = []
+	const handedOver: WaitingTask[] = []
 	const view = createFleetView(clock, claim => hosts.noteClaim(claim))
 	const common = {clock, log: silentLog, metrics, self}
 	const {elsewhere} = createWholeJobMoves(
@@ -63,7 +63,7 @@
 		leaseRule: LEASE_RULE,
 		stopGraceMs: 50,
 		handOver(item) {
-			byTasks.push(item)
+			handedOver.push(item)
 			return false
 		},
 		onRoomChange: () => undefined,
@@ -94,7 +94,7 @@
 		})
 		return {id, ends}
 	}
-	function tell(failureDomain: string, freeCpu: readonly number[], isLeaving = false) {
+	function report(failureDomain: string, freeCpu: readonly number[], isLeaving = false) {
 		const room = {freeCpu, totalCpu: 640_000, waitingWork: 0, labels: []}
 		const beat: Heartbeat = {
 			from: member(failureDomain),
@@ -107,7 +107,7 @@
 	}
 	const startsOf = (id: string) => fleet.starts.filter(({task}) => task.startsWith(id)).length
 	view.noteClaim(claimOf(own))
-	return {hosts, fleet, view, evacuated, byTasks, submit, tell, startsOf}
+	return {hosts, fleet, view, evacuated, handedOver, submit, report, startsOf}
 }
 
 /** A world whose executors are full, and whose other domains have had placers for a while. */
@@ -128,59 +128,59 @@
 
 describe("a job without room in its domain", () => {
 	it("moves as a whole to where it fits, and nothing of it starts here", async () => {
-		const {submit, tell, startsOf, clock, byTasks, hosts} = await createFullWorld()
-		tell("b", [64_000])
+		const {submit, report, startsOf, clock, handedOver, hosts} = await createFullWorld()
+		report("b", [64_000])
 		const {id, ends} = submit(2)
 		await clock.advance(5)
 		expect(ends).to.eql(["to b"])
-		expect(byTasks).to.have.length(0)
+		expect(handedOver).to.have.length(0)
 		expect(hosts.counts().waiting).to.equal(0)
 		await clock.advance(300)
 		expect(startsOf(id)).to.equal(0)
 	})
 
 	it("stays, and its tasks go one by one, once the reported room is used up", async () => {
-		const {submit, tell, clock, byTasks} = await createFullWorld()
-		tell("b", [64_000])
+		const {submit, report, clock, handedOver} = await createFullWorld()
+		report("b", [64_000])
 		const first = submit(2)
 		await clock.advance(5)
 		const second = submit(2)
 		await clock.advance(5)
 		expect([first.ends, second.ends]).to.eql([["to b"], []])
-		expect(byTasks.map(({req}) => req.job)).to.include(second.id)
+		expect(handedOver.map(({req}) => req.job)).to.include(second.id)
 	})
 
 	it("stays when its coordinator moves no jobs, after two moves, and when it was there before", async () => {
 		for (const been of ["stays", ["c", "d"], ["b"]] as const) {
-			const {submit, tell, clock, byTasks} = await createFullWorld()
-			tell("b", [64_000, 64_000])
+			const {submit, report, clock, handedOver} = await createFullWorld()
+			report("b", [64_000, 64_000])
 			const {ends} = submit(1, been)
 			await clock.advance(5)
 			expect(ends).to.eql([])
 			// Its tasks carry the domains tried for the next placer.
-			expect(byTasks[0]?.req.been).to.eql(been === "stays" ? undefined : been)
+			expect(handedOver[0]?.req.been).to.eql(been === "stays" ? undefined : been)
 		}
 	})
 
 	it("stays once anything of it has started; its tasks move after the configured gain has passed", async () => {
-		const {clock, fleet, submit, tell, byTasks} = await createFullWorld({crossDomainMs: 10})
-		tell("b", [64_000, 64_000])
+		const {clock, fleet, submit, report, handedOver} = await createFullWorld({crossDomainMs: 10})
+		report("b", [64_000, 64_000])
 		fleet.end(fleet.starts[0]?.task ?? "", "done")
 		await clock.advance(2)
 		const {id, ends} = submit(2)
 		await clock.advance(5)
-		expect(byTasks).to.have.length(0)
+		expect(handedOver).to.have.length(0)
 		// No run ends here meanwhile, and no report arrives.
 		await clock.advance(25)
 		expect(ends).to.eql([])
-		expect(byTasks[0]?.req.job).to.equal(id)
+		expect(handedOver[0]?.req.job).to.equal(id)
 	})
 
 	it("stays while the other domain is evacuated, its placer leaves, or it reports nothing", async () => {
 		for (const trouble of ["emptied", "leaving", "silent"]) {
-			const {submit, tell, clock, evacuated} = await createFullWorld()
+			const {submit, report, clock, evacuated} = await createFullWorld()
 			if (trouble === "emptied") evacuated.add("b")
-			if (trouble !== "silent") tell("b", [64_000], trouble === "leaving")
+			if (trouble !== "silent") report("b", [64_000], trouble === "leaving")
 			const {ends} = submit(2)
 			await clock.advance(5)
 			expect(ends, trouble).to.eql([])
@@ -188,17 +188,17 @@
 	})
 
 	it("stays while the other domain's placer has only just begun", async () => {
-		const {submit, tell, clock, view} = await createFullWorld()
+		const {submit, report, clock, view} = await createFullWorld()
 		view.noteClaim({...claimOf("b"), fence: 2})
-		tell("b", [64_000])
+		report("b", [64_000])
 		const job = submit(2)
 		await clock.advance(5)
 		expect(job.ends).to.eql([])
 	})
 
 	it("stays when the other domain's report is old", async () => {
-		const {submit, tell, clock} = await createFullWorld()
-		tell("b", [64_000])
+		const {submit, report, clock} = await createFullWorld()
+		report("b", [64_000])
 		await clock.advance(520)
 		const job = submit(2)
 		await clock.advance(5)
@@ -211,10 +211,10 @@
 		const domains = ["a", "b", "c"]
 		const a = await createFullWorld({clock, domains})
 		const b = await createFullWorld({clock, domains, own: "b"})
-		a.tell("b", [])
-		b.tell("a", [])
+		a.report("b", [])
+		b.report("a", [])
 		const told = Array.from({length: 6}, () => 64_000)
-		for (const {tell} of [a, b]) tell("c", told)
+		for (const {report} of [a, b]) report("c", told)
 		const jobs = [a, b].flatMap(({submit}) => Array.from({length: 9}, () => submit(1)))
 		await clock.advance(5)
 		const sent = jobs.filter(({ends}) => ends.includes("to c")).length
--- a/packages/jobs/test/overflow.test.ts
+++ b/packages/jobs/test/overflow.test.ts
@@ -59,7 +59,7 @@
 			},
 		}),
 	})
-	function tellRoom(freeCpu: readonly number[]) {
+	function reportRoom(freeCpu: readonly number[]) {
 		const room = {freeCpu, totalCpu: 64_000, waitingWork: 0, labels: ["r1"]}
 		const beat: Heartbeat = {
 			from: other,
@@ -74,7 +74,7 @@
 	/** The last confirmation by the callers here, which have not been heard since the start. */
 	const confirmedAt = clock.now()
 	let stop: (() => void) | undefined
-	function hand(task: string, extra: Parameters<typeof taskRequest>[1] = {}) {
+	function submit(task: string, extra: Parameters<typeof taskRequest>[1] = {}) {
 		const item: WaitingTask = {
 			req: taskRequest(task, {confirmedAt: () => confirmedAt, ...extra}),
 			since: clock.now(),
@@ -89,36 +89,36 @@
 		const item = {req, since: clock.now(), onEnd, onStart: () => undefined}
 		overflow.sendTo(claim, item, {executor: "e9", isStarted: true})
 	}
-	return {clock, calls, tellRoom, hand, giveRunning, ends, stop: () => stop?.()}
+	return {clock, calls, reportRoom, submit, giveRunning, ends, stop: () => stop?.()}
 }
 
 describe("overflow", () => {
 	it("goes only where room was reported, and deducts it", () => {
-		const {tellRoom, hand, calls} = createWorld()
-		expect(hand("j.0.0.0")).to.equal(false)
-		tellRoom([54_000])
-		expect([hand("j.0.0.0"), hand("j.0.0.1"), hand("j.0.0.2")]).to.eql([true, true, false])
+		const {reportRoom, submit, calls} = createWorld()
+		expect(submit("j.0.0.0")).to.equal(false)
+		reportRoom([54_000])
+		expect([submit("j.0.0.0"), submit("j.0.0.1"), submit("j.0.0.2")]).to.eql([true, true, false])
 		expect(calls).to.have.length(2)
 	})
 
 	it("ignores old reports", async () => {
-		const {tellRoom, hand, clock} = createWorld()
-		tellRoom([54_000])
+		const {reportRoom, submit, clock} = createWorld()
+		reportRoom([54_000])
 		await clock.advance(800)
-		expect(hand("j.0.0.0")).to.equal(false)
+		expect(submit("j.0.0.0")).to.equal(false)
 	})
 
 	it("asks for labels that the other domain has", () => {
-		const {tellRoom, hand} = createWorld()
-		tellRoom([54_000])
-		expect(hand("j.0.0.0", {rack: "r9"})).to.equal(false)
-		expect(hand("j.0.0.0", {rack: "r1"})).to.equal(true)
+		const {reportRoom, submit} = createWorld()
+		reportRoom([54_000])
+		expect(submit("j.0.0.0", {rack: "r9"})).to.equal(false)
+		expect(submit("j.0.0.0", {rack: "r1"})).to.equal(true)
 	})
 
 	it("passes on the task's end and a cancellation", async () => {
-		const {tellRoom, hand, calls, ends, stop} = createWorld()
-		tellRoom([54_000])
-		hand("j.0.0.0")
+		const {reportRoom, submit, calls, ends, stop} = createWorld()
+		reportRoom([54_000])
+		submit("j.0.0.0")
 		stop()
 		expect(calls[0]?.isCancelled).to.equal(true)
 		calls[0]?.answer({type: "done", executor: "e9"})
@@ -127,9 +127,9 @@
 	})
 
 	it("takes a task that was never sent back at once, unless it is running already", async () => {
-		const {tellRoom, hand, giveRunning, calls, ends, clock} = createWorld()
-		tellRoom([54_000])
-		hand("j.0.0.0")
+		const {reportRoom, submit, giveRunning, calls, ends, clock} = createWorld()
+		reportRoom([54_000])
+		submit("j.0.0.0")
 		giveRunning("j.0.0.1")
 		for (const call of calls) call.wasUnsent = true
 		for (const call of calls) call.answer(undefined)
@@ -152,9 +152,9 @@
 	})
 
 	it("counts a task as lost only when its lease has certainly ended", async () => {
-		const {tellRoom, hand, calls, ends, clock} = createWorld()
-		tellRoom([54_000])
-		hand("j.0.0.0")
+		const {reportRoom, submit, calls, ends, clock} = createWorld()
+		reportRoom([54_000])
+		submit("j.0.0.0")
 		calls[0]?.answer(undefined)
 		await clock.advance(LEASE_RULE.endsWithinMs - 1)
 		expect(ends).to.eql([])
--- a/packages/jobs/test/placed-anew.test.ts
+++ b/packages/jobs/test/placed-anew.test.ts
@@ -40,7 +40,7 @@
 	const calls: Call[] = []
 	const leaving: (() => void)[] = []
 	const metrics = createJobMetrics()
-	const placeAnew = createRescheduler({
+	const rescheduleLostJob = createRescheduler({
 		clock,
 		log: silentLog,
 		metrics,
@@ -73,7 +73,7 @@
 		isLeaving: () => false,
 		isEvacuated: () => false,
 		ownLateMs: () => 0,
-		rescheduleLostJob: isOn ? placeAnew : undefined,
+		rescheduleLostJob: isOn ? rescheduleLostJob : undefined,
 	})
 	const placer = member("a-1", "a")
 	const hear = (from: Member) =>
