--- a/packages/jobs/src/coordinate/admission.ts
+++ b/packages/jobs/src/coordinate/admission.ts
@@ -1,8 +1,9 @@
 /**
- * Admission at one placer: keeps what its decisions are made of, and tells callers as soon as a wait has become useless.
+ * Admission control at one placer: judges arriving jobs by a start forecast, and refuses queued jobs whose forecast gets
+ * worse. Created by hosted placers.
  *
- * The sums of asked and served work, the corrections of forecasts and the unstarted jobs live here, as long as the placer
- * does. Nothing of it is told to others or outlasts the instance: a successor begins with none, as for an even load.
+ * The sums of requested and served work, the forecast corrections and the list of unstarted jobs live as long as the
+ * placer. They are not shared, and a successor starts without them.
  */
 import type {Clock} from "@cottonwood/core"
 import {
@@ -37,32 +38,32 @@
 import type {Job, JobEnd} from "../types/job.js"
 import type {EventLog} from "../utils/log.js"
 import type {JobMetrics} from "../utils/metrics.js"
-import {demandOf, lastStartOfUse, workOf} from "./demand.js"
+import {demandOf, latestUsefulStart, jobWork} from "./demand.js"
 import {latestStartOnTime, objectiveMsOf, type JobRun} from "./job-run.js"
 import {createRefusal, type Refusal} from "./refusals.js"
 import {createUnstartedJobs, type UnstartedJob} from "./unstarted-jobs.js"
 
-/** What is read by a walk is read anew after this; a fraction of the shortest tasks. */
-const READING_AGE_MS = 10
-/** Unstarted jobs are looked at so often, the last of the order first. */
-const SWEEP_MS = 25
-const LOOKED_AT = 16
+/** A reading of load and shares is reused for this long. */
+const READING_VALID_MS = 10
+/** Interval between checks of unstarted jobs, which start at the end of their order. */
+const CHECK_INTERVAL_MS = 25
+const MAX_CHECKED = 16
 
 export interface AdmissionDeps {
 	readonly clock: Clock
 	readonly log: EventLog
 	readonly metrics: JobMetrics
 	readonly placer: Pick<Placer, "load" | "work" | "workBefore" | "isStartingUp" | "hasRoomFor">
-	/** Cores that other domains told of and that this placer may count on. */
+	/** Free cores of other failure domains that this placer may count on. */
 	readonly borrowableCores: () => number
 	/** The queues of the configuration in force. */
 	readonly queues: () => readonly ShareRule[]
 }
 
 export interface Admission {
-	/** Judges a job that comes. */
+	/** Decides on an arriving job: a refusal, or admission in time or late (behind all jobs that can be on time). */
 	assess(job: Job, queue: Queue): Refusal | "in time" | "late"
-	/** Follows a job that was taken until all that can start of it has. */
+	/** Tracks an admitted job until all its first tasks have started, or the job has ended. */
 	follow(job: Job, queue: Queue, run: JobRun, isLate: boolean): void
 	close(): void
 }
@@ -71,38 +72,38 @@
 	readonly at: number
 	readonly load: PlacerLoad
 	readonly shares: ReadonlyMap<string, Share>
-	/** Work asked for of late, as a share of what the sound executors carry. */
-	readonly askedOfRoom: number
+	/** Recently requested work divided by what the usable executors can do. */
+	readonly requestedRatio: number
 }
 
 export function createAdmission(deps: AdmissionDeps): Admission {
 	const {clock, metrics, placer} = deps
 	const work = new Map<string, QueueWork>()
-	/** By queue: wide jobs wait longer until their last task has room. */
+	/** Forecast correction by queue. Jobs with many tasks wait longer until the last task has room. */
 	const corrections = new Map<string, number>()
 	const unstarted = createUnstartedJobs()
 	let reading: Reading | undefined
-	let cancelSweep: (() => void) | undefined
+	let cancelCheck: (() => void) | undefined
 
 	function read(): Reading {
 		const now = clock.now()
-		if (reading && now - reading.at < READING_AGE_MS) return reading
+		if (reading && now - reading.at < READING_VALID_MS) return reading
 		const load = placer.load()
 		const shares = sharesOf(deps.queues(), work, now)
-		let asked = 0
-		for (const one of work.values()) asked += decayed(one, now).requested
+		let requested = 0
+		for (const one of work.values()) requested += decayed(one, now).requested
 		const room = capacityOver(DECAY_MS, load)
-		reading = {at: now, load, shares, askedOfRoom: room === 0 ? Infinity : asked / room}
+		reading = {at: now, load, shares, requestedRatio: room === 0 ? Infinity : requested / room}
 		return reading
 	}
 
 	const shareOf = ({name}: Queue) => read().shares.get(name) ?? EVEN_SHARE
 
-	function count({name}: Queue, asked: number, served: number) {
-		setBounded(work, name, addWork(work.get(name) ?? NO_WORK, clock.now(), asked, served))
+	function count({name}: Queue, requested: number, served: number) {
+		setBounded(work, name, addWork(work.get(name) ?? NO_WORK, clock.now(), requested, served))
 	}
 
-	/** `ownWork`: what of the job itself waits already. */
+	/** `ownWork`: the part of the job's own work that is already queued, in core-milliseconds. */
 	function forecast(job: Job, startBy: number, ownWork: number): Forecast {
 		return forecastOf(demandOf(job), {
 			load: read().load,
@@ -112,23 +113,26 @@
 		})
 	}
 
-	function askedBy(job: Job, queue: Queue, told: Forecast, startBy: number): AdmissionInput {
-		const {load, askedOfRoom} = read()
+	function inputFor(job: Job, queue: Queue, told: Forecast, startBy: number): AdmissionInput {
+		const {load, requestedRatio} = read()
 		const now = clock.now()
 		const lateWork = unstarted.lateWork()
 		return {
 			forecast: told,
 			backlogMs: drainMs(Math.max(0, placer.work() - lateWork), load),
 			slackMs: startBy - now,
-			usefulMs: lastStartOfUse(job, queue) - now,
+			usefulMs: latestUsefulStart(job, queue) - now,
 			share: shareOf(queue),
-			requestedRatio: askedOfRoom,
+			requestedRatio,
 			lateBacklogMs: drainMs(lateWork, load),
 		}
 	}
 
-	/** Where it would find room at once it takes nobody's turn: what waits wants more at a time than there is. */
-	function fitsNow(job: Job, {service}: Queue): boolean {
+	/**
+	 * Whether the job finds room at once. Queued jobs may need more room at a time than is free, so this job delays none of
+	 * them.
+	 */
+	function hasRoomNow(job: Job, {service}: Queue): boolean {
 		const [first] = job.steps
 		if (!first || read().load.freeCores < demandOf(job).cores) return false
 		return placer.hasRoomFor(first, service)
@@ -152,12 +156,12 @@
 		run.refuse(refusal(job, queue, reason, told, drainMs(placer.work(), read().load)))
 	}
 
-	/** What waits and has had more than its due may go in the newcomer's place. */
+	/** Refuses a queued job of a queue above its share, so that the newcomer can be admitted. */
 	function makeRoomFor(job: Job, queue: Queue, {slackMs, share}: AdmissionInput): boolean {
 		const now = clock.now()
-		const newcomer = {slackMs, share, work: workOf(job)}
+		const newcomer = {slackMs, share, work: jobWork(job)}
 		const waiting = unstarted
-			.last(LOOKED_AT)
+			.last(MAX_CHECKED)
 			.filter(({isLate}) => !isLate)
 			.map(item => ({
 				item,
@@ -171,29 +175,32 @@
 		return true
 	}
 
-	function sweep() {
-		cancelSweep = undefined
-		if (!placer.isStartingUp()) refuseWhatTurnedBad()
-		sweepSoon()
+	function checkUnstarted() {
+		cancelCheck = undefined
+		if (!placer.isStartingUp()) refuseWorsened()
+		scheduleCheck()
 	}
 
-	function refuseWhatTurnedBad() {
-		for (const item of [...unstarted.last(LOOKED_AT)].reverse()) {
+	function refuseWorsened() {
+		for (const item of [...unstarted.last(MAX_CHECKED)].reverse()) {
 			const {job, queue, startBy, isLate} = item
 			const told = forecast(job, isLate ? Infinity : startBy, item.work)
-			if (shouldKeepWaiting(askedBy(job, queue, told, startBy))) continue
-			noteWait(item)
+			if (shouldKeepWaiting(inputFor(job, queue, told, startBy))) continue
+			recordWait(item)
 			refuse(item, told.startInMs === Infinity ? "no_executor" : "turned_bad", told)
 		}
 	}
 
-	function sweepSoon() {
-		if (cancelSweep || unstarted.size() === 0) return
-		cancelSweep = clock.schedule(SWEEP_MS, sweep)
+	function scheduleCheck() {
+		if (cancelCheck || unstarted.size() === 0) return
+		cancelCheck = clock.schedule(CHECK_INTERVAL_MS, checkUnstarted)
 	}
 
-	/** All that could start of it has started, or it has waited for longer than was forecast. */
-	function noteWait({queue, takenAt, told, isLate}: UnstartedJob) {
+	/**
+	 * Records the forecast error once all first tasks have started or the job is refused, and corrects later forecasts of
+	 * the queue.
+	 */
+	function recordWait({queue, takenAt, told, isLate}: UnstartedJob) {
 		const waitedMs = clock.now() - takenAt
 		const errorMs = waitedMs - told.startInMs
 		if (!Number.isFinite(errorMs)) return
@@ -203,7 +210,7 @@
 		setBounded(corrections, queue.name, updateCorrection(before, told.startInMs, waitedMs))
 	}
 
-	/** What is answered late counts as not served: its queue has had less than it seems. */
+	/** Takes back the job's served work when its answer is late or not a success. */
 	function noteEnd(item: UnstartedJob, end: JobEnd) {
 		const {job, queue, isLate} = item
 		unstarted.remove(item)
@@ -212,40 +219,40 @@
 		if (end.type !== "completed" || !isInTime) count(queue, 0, -item.work)
 	}
 
-	function take(job: Job, queue: Queue): "in time" {
-		const size = workOf(job)
+	function admit(job: Job, queue: Queue): "in time" {
+		const size = jobWork(job)
 		count(queue, size, size)
 		return "in time"
 	}
 
 	return {
 		assess(job, queue) {
-			// Within a moment it has executors; what can start in time then is worth the wait.
-			if (placer.isStartingUp()) return take(job, queue)
+			// A placer that has just begun gets its executors within milliseconds; a short wait beats a refusal.
+			if (placer.isStartingUp()) return admit(job, queue)
 			const startBy = latestStartOnTime(job, queue)
 			const told = forecast(job, startBy, 0)
-			const asked = askedBy(job, queue, told, startBy)
-			const verdict = decideAdmission(asked)
-			if (verdict.type === "admitted" || fitsNow(job, queue)) return take(job, queue)
-			if (verdict.type === "refused" && makeRoomFor(job, queue, asked)) return take(job, queue)
-			count(queue, workOf(job), 0)
+			const input = inputFor(job, queue, told, startBy)
+			const verdict = decideAdmission(input)
+			if (verdict.type === "admitted" || hasRoomNow(job, queue)) return admit(job, queue)
+			if (verdict.type === "refused" && makeRoomFor(job, queue, input)) return admit(job, queue)
+			count(queue, jobWork(job), 0)
 			if (verdict.type === "late") return "late"
 			return refusal(job, queue, verdict.reason, told, verdict.roomInMs)
 		},
 		follow(job, queue, run, isLate) {
-			const startBy = isLate ? lastStartOfUse(job, queue) : latestStartOnTime(job, queue)
-			const size = workOf(job)
+			const startBy = isLate ? latestUsefulStart(job, queue) : latestStartOnTime(job, queue)
+			const size = jobWork(job)
 			const told = forecast(job, startBy, size)
 			const takenAt = clock.now()
 			const item: UnstartedJob = {job, queue, run, startBy, isLate, takenAt, told, work: size}
 			unstarted.add(item)
-			sweepSoon()
+			scheduleCheck()
 			run.onStart(
 				() => void unstarted.remove(item),
-				() => noteWait(item),
+				() => recordWait(item),
 			)
 			void run.ended.then(end => noteEnd(item, end))
 		},
-		close: () => cancelSweep?.(),
+		close: () => cancelCheck?.(),
 	}
 }
--- a/packages/jobs/src/coordinate/dispatcher.ts
+++ b/packages/jobs/src/coordinate/dispatcher.ts
@@ -1,5 +1,6 @@
 /**
- * Takes jobs from callers to placers: here, or at another instance.
+ * The coordinator: passes jobs from callers and other instances to placers, here or elsewhere, and returns how they ended.
+ * Used by each instance.
  */
 import type {Clock} from "@cottonwood/core"
 import {failureDomainOf} from "../decide/slices.js"
@@ -11,26 +12,26 @@
 import type {Caller, Job, JobEnd} from "../types/job.js"
 import {shortSession, type EventLog} from "../utils/log.js"
 import {outcomeUnknown, type LostAtPlacer, type RescheduleLostJob} from "./lost-job-rescheduler.js"
-import {requestOf, sinceArrival, untilDeadline} from "./arrival.js"
+import {receivedRequest, datedBack, limitedToDeadline} from "./arrival.js"
 import type {HostedPlacers} from "./hosted-placers.js"
 import type {MovedJob} from "./moved-job.js"
 import {createCandidates} from "./candidates.js"
 import {latestStartOnTime} from "./job-run.js"
 import type {Refusal} from "./refusals.js"
 
-/** Failure domains that are tried in turn for a job that no placer has seen yet. */
+/** Maximum number of failure domains that are asked about one job. */
 const MAX_DOMAINS_TRIED = 3
-/** And placers of one that is divided: the second one shows whether it is the domain that is full. */
+/** Maximum number of slices asked per failure domain; the second one shows whether the whole domain is full. */
 const MAX_SLICES_TRIED = 2
-/** A job that was refused by a backlog after it had waited so long is not tried elsewhere. */
-const ELSEWHERE_MS = 25
-/** After a loss of all instances placers are there within this, from the start of the process. */
-const BEGINNING_MS = 1_000
-/** A fraction of the shortest task. */
+/** A job that was refused for the backlog later than this after its arrival isn't tried elsewhere. */
+const MAX_BACKLOG_REFUSAL_AGE_MS = 25
+/** A placer is expected to appear within this time after the start of the process or a change of the claim. */
+const STARTUP_MS = 1_000
+/** Interval between looks for a placer while there is none. */
 const PLACER_POLL_MS = 10
-/** Those who place nothing yet are asked again after this: at that moment each of them has more to do than it can. */
-const ASKED_AGAIN_MS = 50
-/** A placer's answer at the deadline itself takes a moment to arrive. */
+/** Wait before asking again when the placers asked don't place yet; they are busy starting. */
+const ASK_AGAIN_MS = 50
+/** An answer is awaited this long beyond the job's deadline. */
 const ANSWER_SLACK_MS = 400
 
 export interface DispatcherDeps {
@@ -43,33 +44,36 @@
 	readonly config: () => FleetConfig | undefined
 	readonly refreshConfig: () => void
 	readonly isLeaving: () => boolean
-	/** By how much this instance's own timers were late of late, in milliseconds. */
+	/** Recent lateness of this instance's timers, in milliseconds. */
 	readonly ownLateMs: () => number
-	/** Whether operators are emptying a failure domain. */
+	/** Whether operators are evacuating a failure domain. */
 	readonly isEvacuated: (failureDomain: string) => boolean
-	/** Follows jobs that placers may send elsewhere as a whole; absent: none may. */
+	/** Tracks a job that placers may move to another failure domain. Absent: jobs are not moved. */
 	readonly followMoves?: (job: Job) => MovedJob
-	/** What becomes of jobs whose placer fell silent; without it their callers are told at once that their end is open. */
+	/** Handles jobs whose placer stopped responding. Absent: the caller gets an unknown outcome at once. */
 	readonly rescheduleLostJob?: RescheduleLostJob
 }
 
 export interface Dispatcher {
-	/** Runs a job to its end, here or at another instance. */
+	/** Runs a job at a placer here or at another instance, and resolves with its end. */
 	dispatch(job: Job, queue: Queue, caller: Caller): Promise<JobEnd>
-	/** Runs a job that another instance's caller handed in. */
+	/** Runs a job for another instance. Replies "not placer" when the failure domain isn't placed here. */
 	runJob(message: JobMessage, caller: Caller): Promise<JobReply>
-	/** Runs a task of a job that another placer has. */
+	/**
+	 * Runs a task for another placer. Replies "not placer" when the failure domain isn't placed here, or this instance is
+	 * leaving.
+	 */
 	runTask(message: TaskMessage, caller: Caller): Promise<TaskReply>
-	/** Placers in the order in which a job that comes now would ask them. */
+	/** Claims of the placers that a new job would ask, in that order. */
 	candidates(): readonly Claim[]
-	/** Whether a job that comes now would find a placer. */
+	/** Whether a new job would find a placer, or can be refused because all failure domains are evacuated. */
 	canPlace(): boolean
-	/** Jobs and tasks under way here, for callers and for peers. */
+	/** Number of jobs and tasks in progress here, for callers and for peers. */
 	workCount(): number
 }
 
-/** What this instance heard of itself, or of a life before it at its address, is no age of a placer's word. */
-function whoIsAsked({view, self}: DispatcherDeps, {placer, fence, failureDomain}: Claim) {
+/** Log fields on the placer that was asked. The age of the last message is only meaningful for other instances. */
+function placerFields({view, self}: DispatcherDeps, {placer, fence, failureDomain}: Claim) {
 	const isOwn = placer.session === self.session
 	const silentMs = isOwn ? Infinity : Math.round(view.silentMs(placer.session))
 	return {
@@ -82,20 +86,22 @@
 	}
 }
 
-/** A placer's word to ask another one that says nothing that could be followed. */
-const NOWHERE: JobEnd = {
+/** The end of a job that its placer moves to a target that can't be used. */
+const INVALID_MOVE: JobEnd = {
 	type: "refused",
 	kind: "no_capacity",
 	cause: "its placer sent it nowhere",
 }
 
-type Unbegun = JobMove | {readonly type: "unsent" | "not placer"}
+type NotStarted = JobMove | {readonly type: "unsent" | "not placer"}
 
-/** Whoever was asked has not begun the job, and will not. */
-const isUnbegun = (end: JobReply | LostAtPlacer | {readonly type: "unsent"}): end is Unbegun =>
+/** The placer asked hasn't started the job and won't. */
+const isNotStarted = (
+	end: JobReply | LostAtPlacer | {readonly type: "unsent"},
+): end is NotStarted =>
 	end.type === "unsent" || end.type === "not placer" || end.type === "elsewhere"
-/** What came of asking placers in turn; without an end the job has certainly not begun, and nobody has refused it. */
-interface Asked {
+/** Result of asking placers in turn. No end: the job hasn't started, and no placer refused it. */
+interface AskResult {
 	readonly end: JobEnd | LostAtPlacer | undefined
 	readonly wasAnyAsked: boolean
 }
@@ -104,19 +110,22 @@
 
 const noCapacity = (cause: string): JobEnd => ({type: "refused", kind: "no_capacity", cause})
 
-/** A refusal by forecast comes as soon as it is known, and elsewhere the job may still be in time. */
-function mayGoElsewhere(job: Job, queue: Queue, {retryAfterMs}: Refusal, now: number): boolean {
+/**
+ * Whether another placer may still take a refused job. A refusal by forecast arrives early enough for that while the job
+ * can still be on time.
+ */
+function mayTryElsewhere(job: Job, queue: Queue, {retryAfterMs}: Refusal, now: number): boolean {
 	if (retryAfterMs !== undefined) return now < latestStartOnTime(job, queue)
-	return now - job.receivedAt <= ELSEWHERE_MS
+	return now - job.receivedAt <= MAX_BACKLOG_REFUSAL_AGE_MS
 }
 
 export function createDispatcher(deps: DispatcherDeps): Dispatcher {
 	const {clock, log, view, self, peers, hosts} = deps
 	const startedAt = clock.now()
 	let workCount = 0
-	const {candidates, hasCandidates, isUntold, areAllEmptied} = createCandidates(deps)
+	const {candidates, hasCandidates, isStateUnknown, areAllEvacuated} = createCandidates(deps)
 
-	async function counted<T>(work: Promise<T>): Promise<T> {
+	async function trackWork<T>(work: Promise<T>): Promise<T> {
 		workCount++
 		try {
 			return await work
@@ -139,7 +148,7 @@
 		}
 	}
 
-	async function runThere(
+	async function runRemotely(
 		claim: Claim,
 		job: Job,
 		queue: Queue,
@@ -160,19 +169,19 @@
 			noteUnsent(view, claim.placer, call)
 			return {type: "unsent"}
 		}
-		const wantedAt = call.lastConfirmedAt?.() ?? Infinity
-		return {type: "lost", cause: `${claim.placer.name} is silent`, lastConfirmedAt: wantedAt}
+		const lastConfirmedAt = call.lastConfirmedAt?.() ?? Infinity
+		return {type: "lost", cause: `${claim.placer.name} is silent`, lastConfirmedAt}
 	}
 
-	/** Just after a start, or a change of the placer, there is one within a moment; a job waits for it while it may be in time. */
+	/** Whether the job may wait for a placer: shortly after a start or a change of placer one appears soon. */
 	function mayWaitForPlacer(job: Job, queue: Queue): boolean {
 		const now = clock.now()
-		const isBeginning =
-			now - startedAt < BEGINNING_MS || view.claimAgeMs(self.failureDomain) < BEGINNING_MS
-		return isBeginning && now < latestStartOnTime(job, queue)
+		const isPlacerExpected =
+			now - startedAt < STARTUP_MS || view.claimAgeMs(self.failureDomain) < STARTUP_MS
+		return isPlacerExpected && now < latestStartOnTime(job, queue)
 	}
 
-	/** Where a job was sent, or else the next placer that suits it. */
+	/** The target of a move, or else the next placer that hasn't been tried. */
 	function nextClaim(tried: ReadonlySet<string>, wasRefused: boolean, moved?: MovedJob) {
 		const target = moved?.next()
 		const domains = [...tried].map(failureDomainOf)
@@ -180,7 +189,7 @@
 		const isNext = ({failureDomain: name}: Claim) =>
 			!tried.has(name) && countOf(domains, failureDomainOf(name)) < MAX_SLICES_TRIED
 		const claim = candidates().find(isNext)
-		return claim && wasRefused && isUntold(claim) ? undefined : claim
+		return claim && wasRefused && isStateUnknown(claim) ? undefined : claim
 	}
 
 	async function ask(claim: Claim, job: Job, queue: Queue, caller: Caller, moved?: MovedJob) {
@@ -188,15 +197,15 @@
 		const host = hosts.of(claim.failureDomain)
 		const reply = host
 			? await hosts.run(host, asked, queue, caller)
-			: await runThere(claim, asked, queue, caller)
+			: await runRemotely(claim, asked, queue, caller)
 		const outcome = reply.type === "lost" ? "given up" : reply.type
-		noteTry(job, claim, outcome)
+		logAnswer(job, claim, outcome)
 		moved?.noteOutcome(claim, outcome)
 		if (reply.type !== "elsewhere" || moved?.accept(claim, reply)) return reply
-		return NOWHERE
+		return INVALID_MOVE
 	}
 
-	/** Asks placers in turn, and waits for one that begins as long as nobody has the job or has refused it. */
+	/** Asks placers until one has started or refused the job; waits for a placer where that is likely to help. */
 	async function tryPlacers(
 		job: Job,
 		queue: Queue,
@@ -206,19 +215,19 @@
 		for (;;) {
 			const {end, wasAnyAsked} = await askInTurn(job, queue, caller, moved)
 			if (end) return end
-			if (areAllEmptied()) return noCapacity("all failure domains are emptied")
+			if (areAllEvacuated()) return noCapacity("all failure domains are emptied")
 			if (!mayWaitForPlacer(job, queue)) return noCapacity("no placer can be reached")
-			await clock.sleep(wasAnyAsked ? ASKED_AGAIN_MS : PLACER_POLL_MS)
+			await clock.sleep(wasAnyAsked ? ASK_AGAIN_MS : PLACER_POLL_MS)
 		}
 	}
 
-	/** Asks placers in turn, as long as those before have certainly not begun the job. */
+	/** Asks each placer once, as long as the previous ones have certainly not started the job. */
 	async function askInTurn(
 		job: Job,
 		queue: Queue,
 		caller: Caller,
 		moved: MovedJob | undefined,
-	): Promise<Asked> {
+	): Promise<AskResult> {
 		const tried = new Set<string>()
 		let end: JobEnd | undefined
 		for (;;) {
@@ -226,10 +235,10 @@
 			if (!claim) break
 			tried.add(claim.failureDomain)
 			const reply = await ask(claim, job, queue, caller, moved)
-			if (isUnbegun(reply)) continue
+			if (isNotStarted(reply)) continue
 			if (reply.type !== "refused") return {end: reply, wasAnyAsked: true}
 			end = reply
-			if (!mayGoElsewhere(job, queue, reply, clock.now())) break
+			if (!mayTryElsewhere(job, queue, reply, clock.now())) break
 		}
 		return {end, wasAnyAsked: tried.size > 0}
 	}
@@ -240,37 +249,37 @@
 		return deps.rescheduleLostJob?.({job, queue, caller}, end, tryPlacers) ?? outcomeUnknown(end)
 	}
 
-	function noteTry(job: Job, claim: Claim, outcome: string) {
-		// Whoever was asked may have the job all the same, but for what was never sent.
+	function logAnswer(job: Job, claim: Claim, outcome: string) {
+		// The placer asked may have the job all the same, unless the call was never sent.
 		const write = outcome === "given up" ? log.alarm : log.event
 		write("job", "placer_asked", "job: a placer answered.", () => ({
 			job: job.id,
-			...whoIsAsked(deps, claim),
+			...placerFields(deps, claim),
 			outcome,
 			tookMs: Math.round(clock.now() - job.receivedAt),
 		}))
 	}
 
 	/**
-	 * A job goes by the newer of both configurations. A placer that is cut off from the store may have an older
-	 * one for long; waiting for it would hold every job that comes from elsewhere.
+	 * The job's queue by the newer configuration of sender and receiver. A placer that is cut off from the store may keep
+	 * an old version for long, and must not hold jobs up meanwhile.
 	 */
 	function queueFor({job, queue, configVersion}: JobMessage): Queue | undefined {
 		const own = deps.config()
 		if (own && own.version >= configVersion) return own.queues.find(({name}) => name === job.queue)
 		deps.refreshConfig()
 		const fields = {job: job.id, queue: queue.name, configVersion}
-		log.event("config", "queue_from_peer", "config: a job came under a newer version.", fields)
+		log.event("config", "queue_from_peer", "config: a job arrived with a newer version.", fields)
 		return queue
 	}
 
 	return {
-		dispatch(handedIn, queue, caller) {
-			const job = sinceArrival(handedIn, caller)
-			return counted(place(job, queue, untilDeadline(caller, job)))
+		dispatch(submitted, queue, caller) {
+			const job = datedBack(submitted, caller)
+			return trackWork(place(job, queue, limitedToDeadline(caller, job)))
 		},
 		async runJob(message, caller) {
-			// A leaving placer has its host until somebody has taken the domain over; what comes until then goes along.
+			// A leaving placer stays until a successor takes over; jobs that arrive until then are handed over too.
 			const host = hosts.of(message.failureDomain)
 			if (!host) return {type: "not placer"}
 			const {madeAt} = caller
@@ -282,12 +291,12 @@
 			}
 			const queue = queueFor(message)
 			if (!queue) return {type: "refused", kind: "no_configuration", cause: "unknown queue here"}
-			return counted(hosts.run(host, job, queue, caller))
+			return trackWork(hosts.run(host, job, queue, caller))
 		},
 		runTask(message, caller) {
 			const host = hosts.of(message.failureDomain)
 			if (!host || deps.isLeaving()) return Promise.resolve({type: "not placer"})
-			const req = requestOf(message, caller)
+			const req = receivedRequest(message, caller)
 			const {runsAt} = message
 			const end = new Promise<TaskEnd>(resolve => {
 				const handle = runsAt
@@ -295,11 +304,11 @@
 					: host.placer.submit(req, resolve, () => undefined)
 				caller.onCancel(() => handle.cancel())
 			})
-			return counted(end)
+			return trackWork(end)
 		},
 		candidates,
-		// Callers are told at once that nothing may start; other instances could tell them no more.
-		canPlace: () => hasCandidates() || areAllEmptied(),
+		// While all failure domains are evacuated no other instance could place the job either.
+		canPlace: () => hasCandidates() || areAllEvacuated(),
 		workCount: () => workCount,
 	}
 }
--- a/packages/jobs/src/coordinate/refusals.ts
+++ b/packages/jobs/src/coordinate/refusals.ts
@@ -1,6 +1,4 @@
-/**
- * What is told, counted and written of a job that its placer refuses.
- */
+/** Builds, counts and logs the refusal of a job by admission. */
 import {retryAfterMsOf, type RefusalReason} from "../decide/admission.js"
 import type {Forecast} from "../decide/forecast.js"
 import type {Share} from "../decide/shares.js"
@@ -8,8 +6,8 @@
 import type {EventLog} from "../utils/log.js"
 import type {JobMetrics} from "../utils/metrics.js"
 
-/** Within this a queue has what it is due. */
-const EVEN_LEAD = 0.02
+/** Up to this difference from its share a queue counts as even. */
+const EVEN_EXCESS = 0.02
 
 export type Refusal = Extract<JobEnd, {type: "refused"}>
 
@@ -17,30 +15,30 @@
 	readonly reason: RefusalReason
 	readonly share: Share
 	readonly told: Forecast
-	/** When the room is forecast to suffice, in milliseconds from now. */
+	/** Forecast time until there is enough room, in milliseconds. */
 	readonly roomInMs: number
-	/** For how long the job has waited for the decision, in milliseconds. */
+	/** Time from the job's arrival to the decision, in milliseconds. */
 	readonly waitedMs: number
 }
 
-interface Noted {
+interface RefusalSinks {
 	readonly log: EventLog
 	readonly metrics: JobMetrics
 }
 
-function standingOf({excess: lead}: Share): "above" | "even" | "below" {
-	if (Math.abs(lead) <= EVEN_LEAD) return "even"
-	return lead > 0 ? "above" : "below"
+function standingOf({excess}: Share): "above" | "even" | "below" {
+	if (Math.abs(excess) <= EVEN_EXCESS) return "even"
+	return excess > 0 ? "above" : "below"
 }
 
-const knownMs = (ms: number) => (Number.isFinite(ms) ? Math.round(ms) : undefined)
-const hundredths = (ratio: number) => Math.round(ratio * 100) / 100
+const finiteMs = (ms: number) => (Number.isFinite(ms) ? Math.round(ms) : undefined)
+const roundToHundredths = (ratio: number) => Math.round(ratio * 100) / 100
 
-/** The answer to a job's caller; written with what it was decided by. */
+/** Counts and logs a refusal, and returns the answer for the caller. */
 export function createRefusal(
 	{id, queue}: Job,
 	facts: RefusalDetails,
-	{log, metrics}: Noted,
+	{log, metrics}: RefusalSinks,
 ): Refusal {
 	const {reason, share, told, roomInMs, waitedMs} = facts
 	const retryAfterMs = retryAfterMsOf(id, roomInMs)
@@ -50,13 +48,13 @@
 		queue,
 		outcome: reason,
 		waitedMs: Math.round(waitedMs),
-		startInMs: knownMs(told.startInMs),
-		endInMs: knownMs(told.endInMs),
-		servedRatio: hundredths(share.servedRatio),
-		dueRatio: hundredths(share.dueRatio),
+		startInMs: finiteMs(told.startInMs),
+		endInMs: finiteMs(told.endInMs),
+		servedRatio: roundToHundredths(share.servedRatio),
+		dueRatio: roundToHundredths(share.dueRatio),
 		retryAfterMs,
 	})
-	const startIn = knownMs(told.startInMs)
+	const startIn = finiteMs(told.startInMs)
 	const forecast = startIn === undefined ? "no start is forecast" : `a start in ${startIn} ms`
 	const kind = reason === "no_executor" ? "no_capacity" : "overloaded"
 	return {type: "refused", kind, cause: `${reason}: ${forecast}`, retryAfterMs}
--- a/packages/jobs/src/coordinate/room-estimates.ts
+++ b/packages/jobs/src/coordinate/room-estimates.ts
@@ -1,37 +1,38 @@
 /**
- * The room that other domains told, counted down by what was sent there since; the next telling replaces the count.
+ * Estimates of the free room of other failure domains: the last report less what was sent there since. Shared by everything
+ * that sends work to other domains.
  */
 import type {Clock} from "@cottonwood/core"
 import type {FleetView, ReportedRoom} from "../fleet/members.js"
 
-/** Told room that is older says nothing any more: two beats. */
-const ROOM_AGE_MS = 500
-/** What was sent so shortly before room was told may not have been counted there. */
+/** Reports older than this are ignored: two heartbeats. */
+const REPORT_VALID_MS = 500
+/** Work sent this shortly before a report may be missing from it. */
 const IN_FLIGHT_MS = 5
 const MILLICORES = 1_000
 
 export interface RoomEstimate {
 	readonly told: ReportedRoom
-	/** Thousandths of a core, largest first. */
+	/** Thousandths of a core by executor, largest first. */
 	readonly freeCpu: number[]
-	/** Thousandths of a core, and core-milliseconds, that were sent there since. */
+	/** Thousandths of a core, and core-milliseconds, that were sent there since the report. */
 	sentCpu: number
 	sentWork: number
 }
 
-/** Tasks that are sent to another domain. */
+/** Tasks sent to another failure domain. */
 export interface SentTasks {
 	readonly tasks: number
 	readonly cpu: number
-	/** Core-milliseconds of all of them. */
+	/** Core-milliseconds of all tasks. */
 	readonly work: number
 }
 
 export interface RoomEstimates {
-	/** Undefined where nothing was told of late. */
+	/** Undefined without a recent report. */
 	of(failureDomain: string): RoomEstimate | undefined
 	deduct(failureDomain: string, sent: SentTasks): void
-	/** Its room is of no use until it is told again. */
+	/** Counts the room as none until the next report. */
 	close(failureDomain: string): void
 }
 
@@ -42,7 +43,7 @@
 export const taskWork = ({need, estimateMs}: {need: {cpu: number}; estimateMs: number}) =>
 	(need.cpu / MILLICORES) * estimateMs
 
-function take(room: RoomEstimate, {tasks, cpu, work}: SentTasks) {
+function deductFrom(room: RoomEstimate, {tasks, cpu, work}: SentTasks) {
 	const {freeCpu} = room
 	for (let task = 0; task < tasks; task++) {
 		freeCpu[0] = (freeCpu[0] ?? 0) - cpu
@@ -52,23 +53,23 @@
 	room.sentWork += work
 }
 
-/** `countsInFlight`: what was sent just before a telling is taken off it too. */
+/** `countsInFlight`: work sent just before a report is deducted from it too. */
 export function createRoomEstimates(
 	clock: Clock,
 	view: Pick<FleetView, "roomOf">,
 	countsInFlight: boolean,
 ): RoomEstimates {
-	const counted = new Map<string, RoomEstimate | undefined>()
+	const estimates = new Map<string, RoomEstimate | undefined>()
 	const lastSent = new Map<string, readonly Sent[]>()
 
 	function roomOf(failureDomain: string): RoomEstimate | undefined {
 		const told = view.roomOf(failureDomain)
-		if (!told || clock.now() - told.at > ROOM_AGE_MS) return undefined
-		const known = counted.get(failureDomain)
+		if (!told || clock.now() - told.at > REPORT_VALID_MS) return undefined
+		const known = estimates.get(failureDomain)
 		if (known?.told === told) return known
 		const fresh = {told, freeCpu: [...told.room.freeCpu], sentCpu: 0, sentWork: 0}
-		counted.set(failureDomain, fresh)
-		for (const sent of inFlight(failureDomain, told.at)) take(fresh, sent)
+		estimates.set(failureDomain, fresh)
+		for (const sent of inFlight(failureDomain, told.at)) deductFrom(fresh, sent)
 		return fresh
 	}
 
@@ -86,13 +87,13 @@
 		of: roomOf,
 		deduct(failureDomain, sent) {
 			const room = roomOf(failureDomain)
-			if (room) take(room, sent)
+			if (room) deductFrom(room, sent)
 			if (countsInFlight) noteSent(failureDomain, sent)
 		},
 		close(failureDomain) {
 			const told = view.roomOf(failureDomain)
 			const none = told && {told, freeCpu: [], sentCpu: 0, sentWork: 0}
-			counted.set(failureDomain, none)
+			estimates.set(failureDomain, none)
 		},
 	}
 }
--- a/packages/jobs/src/coordinate/slice-moves.ts
+++ b/packages/jobs/src/coordinate/slice-moves.ts
@@ -1,5 +1,6 @@
 /**
- * What the placers of one instance do when executors go to another slice: they give them up, with what runs there.
+ * Makes the placers of this instance give up executors that have moved to another slice, with their runs. Used by hosted
+ * placers.
  */
 import type {Clock} from "@cottonwood/core"
 import {failureDomainOf, sliceIndexOf} from "../decide/slices.js"
@@ -7,26 +8,26 @@
 import type {Claim} from "../types/fleet.js"
 import type {EventLog} from "../utils/log.js"
 import type {HostedPlacer} from "./hosted-placers.js"
-import type {HostSlices} from "./slices.js"
+import type {SliceRouting} from "./slice-routing.js"
 
-/** The claim of a new slice is known everywhere within three beats, or nobody hears of it. */
-const SLICE_NEWS_MS = 650
+/** A new slice's claim is known everywhere within three heartbeats. */
+const CLAIM_KNOWN_MS = 650
 
 export interface SliceMovesDeps {
 	readonly clock: Clock
 	readonly log: EventLog
 	readonly hosts: ReadonlyMap<string, HostedPlacer>
-	/** Undefined: no failure domain is divided. */
-	readonly slices: HostSlices | undefined
+	/** Undefined: no failure domain is sliced. */
+	readonly slices: SliceRouting | undefined
 	readonly endPlacing: (failureDomain: string, fence: number, cause: string) => void
 }
 
 export interface SliceMoves {
-	/** Those of the executors that a hosted slice's placer may use. */
-	ownOf(name: string, records: readonly ExecutorRecord[]): readonly ExecutorRecord[]
-	/** An executor obeys a higher fence than the claim's. */
+	/** The executors that the placer of a slice may use. */
+	ownExecutors(name: string, records: readonly ExecutorRecord[]): readonly ExecutorRecord[]
+	/** Handles an executor that obeys a higher fence than the claim's. */
 	noteFenced(claim: Claim, executor: ExecutorRecord): void
-	/** A claim is in force, which may be a new slice's. */
+	/** Handles a claim that may be that of a new slice. */
 	noteClaim(claim: Claim): void
 }
 
@@ -37,39 +38,39 @@
 	slices,
 	endPlacing,
 }: SliceMovesDeps): SliceMoves {
-	/** Hands executors that have another placer by now to that one, with what runs there. */
-	function giveExecutors(name: string, isGiven: (record: ExecutorRecord) => boolean) {
+	/** Hands executors over to their new placer, with the runs there. */
+	function handOverExecutors(name: string, isMoved: (record: ExecutorRecord) => boolean) {
 		const host = hosts.get(name)
 		if (!host) return
-		const count = host.placer.handOverExecutors(isGiven, (item, from) =>
-			slices?.sendOn(name, item, from),
+		const count = host.placer.handOverExecutors(isMoved, (item, from) =>
+			slices?.forwardRun(name, item, from),
 		)
 		if (count === 0) return
 		const fields = {failureDomain: name, fence: host.claim.fence, count}
-		log.alarm("placer", "executors_given", "placer: gave executors to another slice.", fields)
+		log.alarm("placer", "executors_given", "placer: handed executors to another slice.", fields)
 	}
 
 	function isOwn(name: string, record: ExecutorRecord): boolean {
-		return slices === undefined || slices.ownOf(name, [record]).length > 0
+		return slices === undefined || slices.ownExecutors(name, [record]).length > 0
 	}
 
 	return {
-		ownOf(name, records) {
+		ownExecutors(name, records) {
 			if (!slices) return records.filter(record => record.failureDomain === name)
 			const fenced = hosts.get(name)?.fenced
-			const own = slices.ownOf(name, records)
+			const own = slices.ownExecutors(name, records)
 			return fenced?.size ? own.filter(({id}) => !fenced.has(id)) : own
 		},
 		noteFenced({failureDomain, fence}, {id}) {
 			const host = hosts.get(failureDomain)
-			// Where nothing is divided somebody else places the whole domain.
-			if (host?.claim.fence !== fence || !slices?.mayBeDivided(failureDomain))
+			// In an unsliced failure domain a higher fence is that of a new placer of the whole domain.
+			if (host?.claim.fence !== fence || !slices?.mayBeSliced(failureDomain))
 				return endPlacing(failureDomain, fence, "a higher fence was seen")
 			host.fenced.add(id)
-			clock.schedule(SLICE_NEWS_MS, () => {
-				// By then the slice may have been handed over, with all that runs there.
+			clock.schedule(CLAIM_KNOWN_MS, () => {
+				// The slice may have been handed over meanwhile, with all its runs.
 				if (hosts.get(failureDomain) !== host) return
-				giveExecutors(failureDomain, record => record.id === id)
+				handOverExecutors(failureDomain, record => record.id === id)
 			})
 		},
 		noteClaim({failureDomain: name}) {
@@ -77,7 +78,7 @@
 			const failureDomain = failureDomainOf(name)
 			const others = [...hosts.keys()].filter(placed => placed !== name)
 			for (const placed of others.filter(other => failureDomainOf(other) === failureDomain))
-				giveExecutors(placed, record => !isOwn(placed, record))
+				handOverExecutors(placed, record => !isOwn(placed, record))
 		},
 	}
 }
