--- a/packages/spec/src/config-protocol.ts
+++ b/packages/spec/src/config-protocol.ts
@@ -63,8 +63,8 @@
 
 function storeTakes(state: ConfigState, operator: number, answers: boolean, guards: ConfigGuards) {
 	const {read} = state.operators[operator]!
-	const isFree = state.accepted.length === read
-	if (!isFree && guards.compareAndSwap) {
+	const isLatest = state.accepted.length === read
+	if (!isLatest && guards.compareAndSwap) {
 		return withOperator(state, operator, {state: answers ? "conflict" : "in doubt"})
 	}
 	const accepted = [...state.accepted.slice(0, read), operator]
@@ -73,9 +73,9 @@
 
 function resolve(state: ConfigState, operator: number, guards: ConfigGuards): ConfigState {
 	const {read} = state.operators[operator]!
-	const isMine = state.accepted[read] === operator
+	const isOwnWrite = state.accepted[read] === operator
 	return withOperator(state, operator, {
-		state: !guards.readBack || isMine ? "accepted" : "conflict",
+		state: !guards.readBack || isOwnWrite ? "accepted" : "conflict",
 	})
 }
 
--- a/packages/spec/src/confirmation-protocol.ts
+++ b/packages/spec/src/confirmation-protocol.ts
@@ -33,10 +33,10 @@
 type EventType = ConfirmationEvent["type"]
 
 const INITIAL: ConfirmationState = Object.freeze({
-	brokenFor: undefined,
+	ticksSinceBreak: undefined,
 	coordinator: "wants it",
-	wantedAge: STALE_TICKS,
-	toldAge: STALE_TICKS,
+	coordinatorConfirmedAge: STALE_TICKS,
+	reportedAge: STALE_TICKS,
 	call: "unsent",
 	confirmedAge: STALE_TICKS,
 	confirmation: undefined,
@@ -44,27 +44,27 @@
 	startLease: 0,
 	lease: 0,
 	order: undefined,
-	askedLease: 0,
+	requestedLease: 0,
 	hasSuccessor: false,
 	isOrphan: false,
 	runsAgain: false,
 })
 
-const isThere = ({run}: ConfirmationState) => run === "ordered" || run === "running"
+const hasRun = ({run}: ConfirmationState) => run === "ordered" || run === "running"
 
 /** What the executor's lease may still be for the run's own sake. */
-const boundOf = ({confirmedAge}: ConfirmationState) => BOUND_TICKS - confirmedAge
+const leaseBound = ({confirmedAge}: ConfirmationState) => BOUND_TICKS - confirmedAge
 
 /** The longest lease that the placer may ask for now, for a neighbour's sake too. */
 function allowedLease(state: ConfirmationState, guards: ConfirmationGuards): number {
 	if (state.isOrphan) return guards.renewNoOrphans ? 0 : LEASE_TICKS
-	if (!isThere(state) || !guards.boundByOldest) return LEASE_TICKS
-	return Math.min(LEASE_TICKS, boundOf(state))
+	if (!hasRun(state) || !guards.boundByOldest) return LEASE_TICKS
+	return Math.min(LEASE_TICKS, leaseBound(state))
 }
 
 function mayStart(state: ConfirmationState, guards: ConfirmationGuards): boolean {
-	if (state.call !== "read" || state.run !== "none" || boundOf(state) === 0) return false
-	return !guards.lookBeforeStart || state.askedLease <= boundOf(state)
+	if (state.call !== "read" || state.run !== "none" || leaseBound(state) === 0) return false
+	return !guards.checkLeaseBeforeStart || state.requestedLease <= leaseBound(state)
 }
 
 /** The coordinator has read all its connections, and the pulse that it goes by was late by some ticks. */
@@ -73,13 +73,13 @@
 	pulseTicks: number,
 	guards: ConfirmationGuards,
 ): ConfirmationState {
-	const isFound = state.brokenFor !== undefined && guards.breakIsSeen
+	const isFound = state.ticksSinceBreak !== undefined && guards.detectBreak
 	if (isFound) return {...state, coordinator: "cancelled it"}
-	return {...state, wantedAge: Math.min(state.wantedAge, pulseTicks)}
+	return {...state, coordinatorConfirmedAge: Math.min(state.coordinatorConfirmedAge, pulseTicks)}
 }
 
-function tell(state: ConfirmationState): ConfirmationState {
-	return {...state, toldAge: Math.min(state.toldAge, state.wantedAge)}
+function noteReported(state: ConfirmationState): ConfirmationState {
+	return {...state, reportedAge: Math.min(state.reportedAge, state.coordinatorConfirmedAge)}
 }
 
 function readCall(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
@@ -87,31 +87,31 @@
 }
 
 function readConfirmation(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
-	const toldAge = guards.ageOfConfirmation ? (state.confirmation ?? STALE_TICKS) : 0
-	const confirmedAge = Math.min(state.confirmedAge, toldAge)
+	const age = guards.ageOfConfirmation ? (state.confirmation ?? STALE_TICKS) : 0
+	const confirmedAge = Math.min(state.confirmedAge, age)
 	return {...state, confirmation: undefined, confirmedAge}
 }
 
 function askLease(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
 	const asked = allowedLease(state, guards)
-	return {...state, order: asked, askedLease: Math.max(state.askedLease, asked)}
+	return {...state, order: asked, requestedLease: Math.max(state.requestedLease, asked)}
 }
 
 function orderStart(state: ConfirmationState): ConfirmationState {
-	const startLease = Math.min(LEASE_TICKS, boundOf(state))
-	const askedLease = Math.max(state.askedLease, startLease)
-	return {...state, run: "ordered", startLease, askedLease}
+	const startLease = Math.min(LEASE_TICKS, leaseBound(state))
+	const requestedLease = Math.max(state.requestedLease, startLease)
+	return {...state, run: "ordered", startLease, requestedLease}
 }
 
-function takeStart(state: ConfirmationState): ConfirmationState {
+function receiveStart(state: ConfirmationState): ConfirmationState {
 	if (state.startLease === 0) return {...state, run: "ended"}
 	return {...state, run: "running", lease: Math.max(state.lease, state.startLease)}
 }
 
-function presumedLease({presumeLease, presumeAtFence}: ConfirmationGuards): number {
-	if (!presumeLease) return 0
+function assumedLease({assumeLongestLease, assumeLeaseFromFence}: ConfirmationGuards): number {
+	if (!assumeLongestLease) return 0
 	// A successor that presumes as of its own beginning is at least a tick early.
-	return presumeAtFence ? LEASE_TICKS : LEASE_TICKS - 1
+	return assumeLeaseFromFence ? LEASE_TICKS : LEASE_TICKS - 1
 }
 
 /** The executor obeys no order of the placer before any more; what it lists is all that the successor knows. */
@@ -122,7 +122,7 @@
 		isOrphan: state.run === "running",
 		run: state.run === "ordered" ? "ended" : state.run,
 		order: undefined,
-		askedLease: presumedLease(guards),
+		requestedLease: assumedLease(guards),
 	}
 }
 
@@ -130,20 +130,21 @@
 const shorter = (left: number) => Math.max(0, left - 1)
 
 function tick(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
-	const {brokenFor, confirmation, order, run} = state
+	const {ticksSinceBreak, confirmation, order, run} = state
 	const lease = shorter(state.lease)
 	return {
 		...state,
-		brokenFor: brokenFor === undefined ? undefined : Math.min(RESUBMIT_TICKS, brokenFor + 1),
-		wantedAge: older(state.wantedAge),
-		toldAge: older(state.toldAge),
+		ticksSinceBreak:
+			ticksSinceBreak === undefined ? undefined : Math.min(RESUBMIT_TICKS, ticksSinceBreak + 1),
+		coordinatorConfirmedAge: older(state.coordinatorConfirmedAge),
+		reportedAge: older(state.reportedAge),
 		confirmedAge: older(state.confirmedAge),
 		confirmation: confirmation === undefined ? undefined : older(confirmation),
 		run: run === "running" && lease === 0 ? "ended" : run,
 		startLease: shorter(state.startLease),
 		lease,
 		order: order !== undefined && guards.absoluteEnd ? shorter(order) : order,
-		askedLease: shorter(state.askedLease),
+		requestedLease: shorter(state.requestedLease),
 	}
 }
 
@@ -151,8 +152,8 @@
 function tickSuspended(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
 	const later = tick(state, guards)
 	if (guards.countSuspension) return later
-	const {confirmedAge, confirmation, askedLease} = state
-	return {...later, confirmedAge, confirmation, askedLease}
+	const {confirmedAge, confirmation, requestedLease} = state
+	return {...later, confirmedAge, confirmation, requestedLease}
 }
 
 type Step = (state: ConfirmationState, guards: ConfirmationGuards) => ConfirmationState
@@ -160,17 +161,24 @@
 const STEPS: Readonly<Record<EventType, Step>> = {
 	"connections read after a prompt pulse": (state, guards) => readConnections(state, 0, guards),
 	"connections read after a late pulse": (state, guards) => readConnections(state, 1, guards),
-	"call sent": state => ({...tell(state), call: "under way", confirmedAge: state.wantedAge}),
+	"call sent": state => ({
+		...noteReported(state),
+		call: "under way",
+		confirmedAge: state.coordinatorConfirmedAge,
+	}),
 	"call read": readCall,
-	"confirmation sent": state => ({...tell(state), confirmation: state.wantedAge}),
+	"confirmation sent": state => ({
+		...noteReported(state),
+		confirmation: state.coordinatorConfirmedAge,
+	}),
 	"confirmation read": readConfirmation,
 	"confirmation of others read": state => ({...state, confirmedAge: 0}),
 	"cancel read": state => ({...state, call: "cancelled"}),
-	"connection breaks": state => ({...state, brokenFor: 0}),
-	"answered open": state => ({...state, brokenFor: 0, coordinator: "cancelled it"}),
+	"connection breaks": state => ({...state, ticksSinceBreak: 0}),
+	"answered open": state => ({...state, ticksSinceBreak: 0, coordinator: "cancelled it"}),
 	"coordinator dies or loses its stream": state => ({
 		...state,
-		brokenFor: state.brokenFor ?? 0,
+		ticksSinceBreak: state.ticksSinceBreak ?? 0,
 		coordinator: "is gone",
 	}),
 	"coordinator loses its stream, its caller waits on": state => ({
@@ -184,7 +192,7 @@
 		lease: Math.max(state.lease, state.order ?? 0),
 	}),
 	"start ordered": orderStart,
-	"start arrives": takeStart,
+	"start arrives": receiveStart,
 	"stop carried out": state => ({...state, run: "ended"}),
 	"successor fences": takeOver,
 	"run handed over": state => ({...state, isOrphan: false}),
@@ -201,44 +209,49 @@
 }
 
 /** Leaves out what can no longer tell one future from another. */
-function reduced(
+function normalize(
 	state: ConfirmationState,
 	{absoluteEnd, placesAnew = false}: ConfirmationRules,
 ): ConfirmationState {
 	if (isSettled(state)) return {...INITIAL, run: "ended"}
 	const {order, lease} = state
-	const isOrderIdle = absoluteEnd && order !== undefined && order <= lease
+	const isOrderRedundant = absoluteEnd && order !== undefined && order <= lease
 	return {
 		...state,
-		order: isOrderIdle ? undefined : order,
-		wantedAge: state.coordinator === "wants it" ? state.wantedAge : STALE_TICKS,
-		toldAge: placesAnew && state.coordinator !== "cancelled it" ? state.toldAge : STALE_TICKS,
+		order: isOrderRedundant ? undefined : order,
+		coordinatorConfirmedAge:
+			state.coordinator === "wants it" ? state.coordinatorConfirmedAge : STALE_TICKS,
+		reportedAge:
+			placesAnew && state.coordinator !== "cancelled it" ? state.reportedAge : STALE_TICKS,
 	}
 }
 
 /** Whether a confirmation that is meant for others would be taken for the call's own. */
-function isMistaken(
+function isMisattributed(
 	{call, coordinator}: ConfirmationState,
-	{keepCancelled, ownStream}: ConfirmationGuards,
+	{cancelIsFinal, confirmOwnStreamOnly}: ConfirmationGuards,
 ) {
-	if (coordinator === "cancelled it") return call === "cancelled" && !keepCancelled
-	return coordinator === "is gone" && call === "read" && !ownStream
+	if (coordinator === "cancelled it") return call === "cancelled" && !cancelIsFinal
+	return coordinator === "is gone" && call === "read" && !confirmOwnStreamOnly
 }
 
 function callEvents(
 	state: ConfirmationState,
 	{placesAnew = false}: ConfirmationRules,
 ): readonly (readonly [EventType, boolean])[] {
-	const {brokenFor, coordinator, call, confirmation, wantedAge} = state
+	const {ticksSinceBreak, coordinator, call, confirmation, coordinatorConfirmedAge} = state
 	const isWanted = coordinator === "wants it"
-	const isWaiting = brokenFor === undefined
-	const isNews = wantedAge < Math.min(STALE_TICKS, confirmation ?? STALE_TICKS)
+	const isWaiting = ticksSinceBreak === undefined
+	const isNewer = coordinatorConfirmedAge < Math.min(STALE_TICKS, confirmation ?? STALE_TICKS)
 	return [
-		["connections read after a prompt pulse", isWanted && (wantedAge > 0 || !isWaiting)],
-		["connections read after a late pulse", isWanted && wantedAge > 1 && isWaiting],
-		["call sent", isWanted && call === "unsent" && wantedAge < STALE_TICKS],
+		[
+			"connections read after a prompt pulse",
+			isWanted && (coordinatorConfirmedAge > 0 || !isWaiting),
+		],
+		["connections read after a late pulse", isWanted && coordinatorConfirmedAge > 1 && isWaiting],
+		["call sent", isWanted && call === "unsent" && coordinatorConfirmedAge < STALE_TICKS],
 		["call read", call === "under way"],
-		["confirmation sent", isWanted && call !== "unsent" && isNews],
+		["confirmation sent", isWanted && call !== "unsent" && isNewer],
 		["confirmation read", call === "read" && confirmation !== undefined],
 		[
 			"cancel read",
@@ -255,27 +268,32 @@
 	state: ConfirmationState,
 	guards: ConfirmationRules,
 ): readonly (readonly [EventType, boolean])[] {
-	const {brokenFor, coordinator, toldAge, call, run, lease, order} = state
+	const {ticksSinceBreak, coordinator, reportedAge, call, run, lease, order} = state
 	const {hasSuccessor, isOrphan, runsAgain} = state
-	const resubmitTicks = guards.comeBackLate ? RESUBMIT_TICKS : RESUBMIT_TICKS - 1
-	const overTicks = guards.placeAnewLate ? BOUND_TICKS : BOUND_TICKS - 1
-	const isOverFor = guards.placesAnew && coordinator === "is gone" && toldAge >= overTicks
+	const resubmitTicks = guards.resubmitAfterBound ? RESUBMIT_TICKS : RESUBMIT_TICKS - 1
+	const rescheduleTicks = guards.rescheduleAfterBound ? BOUND_TICKS : BOUND_TICKS - 1
+	const mayReschedule =
+		guards.placesAnew && coordinator === "is gone" && reportedAge >= rescheduleTicks
 	const isUnwanted = call === "cancelled" || isOrphan
 	// Before the break it makes no difference: nobody comes back.
-	const isUnheardOf = (brokenFor !== undefined || coordinator === "is gone") && isThere(state)
+	const isUnconfirmed =
+		(ticksSinceBreak !== undefined || coordinator === "is gone") && hasRun(state)
 	return [
-		["confirmation of others read", isMistaken(state, guards)],
+		["confirmation of others read", isMisattributed(state, guards)],
 		["lease asked", allowedLease(state, guards) > Math.max(lease, order ?? 0)],
 		["order arrives", order !== undefined],
 		["start ordered", mayStart(state, guards)],
 		["start arrives", run === "ordered"],
-		["stop carried out", isThere(state) && isUnwanted],
+		["stop carried out", hasRun(state) && isUnwanted],
 		["successor fences", !hasSuccessor],
 		["run handed over", isOrphan],
-		["caller comes back", !runsAgain && brokenFor !== undefined && brokenFor >= resubmitTicks],
-		["placed anew", !runsAgain && isOverFor === true],
+		[
+			"caller comes back",
+			!runsAgain && ticksSinceBreak !== undefined && ticksSinceBreak >= resubmitTicks,
+		],
+		["placed anew", !runsAgain && mayReschedule === true],
 		["tick", true],
-		["tick while the placer is suspended", !guards.countSuspension && isUnheardOf],
+		["tick while the placer is suspended", !guards.countSuspension && isUnconfirmed],
 	]
 }
 
@@ -293,7 +311,7 @@
 ): Specification<ConfirmationState, ConfirmationEvent> {
 	return {
 		initial: INITIAL,
-		next: (state, {type}) => reduced(STEPS[type](state, guards), guards),
+		next: (state, {type}) => normalize(STEPS[type](state, guards), guards),
 		enabled: state => enabled(state, guards),
 		violation: ({run, runsAgain}) =>
 			run === "running" && runsAgain ? "a task ran twice at once" : undefined,
--- a/packages/spec/src/confirmation-state.ts
+++ b/packages/spec/src/confirmation-state.ts
@@ -12,12 +12,12 @@
 
 export interface ConfirmationState {
 	/** Ticks since the caller lost its connection or got an open answer; undefined while it waits. */
-	readonly brokenFor: number | undefined
+	readonly ticksSinceBreak: number | undefined
 	readonly coordinator: Coordinator
 	/** Age of the latest moment as of which the coordinator knows that it wanted the call. */
-	readonly wantedAge: number
+	readonly coordinatorConfirmedAge: number
 	/** Age of the latest moment as of which the coordinator told that it wanted the call. */
-	readonly toldAge: number
+	readonly reportedAge: number
 	readonly call: "unsent" | "under way" | "read" | "cancelled"
 	/** Age of the moment that the placer takes for the call's confirmation, or that the call under way tells. */
 	readonly confirmedAge: number
@@ -31,7 +31,7 @@
 	/** Ticks that are left of the lease that an order under way asks for; undefined when none is. */
 	readonly order: number | undefined
 	/** Ticks that are left, as the placer has it, of the longest lease asked for. */
-	readonly askedLease: number
+	readonly requestedLease: number
 	/** Whether the executor obeys a successor of the first placer. */
 	readonly hasSuccessor: boolean
 	/** The run is there, and the placer knows nothing of it. */
@@ -48,25 +48,25 @@
 	/** A confirmation that arrives is as old as what it tells. */
 	readonly ageOfConfirmation: boolean
 	/** A start is ordered only where the lease asked for already ends by the run's bound. */
-	readonly lookBeforeStart: boolean
+	readonly checkLeaseBeforeStart: boolean
 	/** A successor takes it that the placer before has asked for the longest lease. */
-	readonly presumeLease: boolean
+	readonly assumeLongestLease: boolean
 	/** It takes that as of when the executor obeyed it, since the placer before may have asked until then. */
-	readonly presumeAtFence: boolean
+	readonly assumeLeaseFromFence: boolean
 	/** Nothing is renewed while a run is there of which nothing is known. */
 	readonly renewNoOrphans: boolean
 	/** What is confirmed after a call's cancel does not confirm that call. */
-	readonly keepCancelled: boolean
+	readonly cancelIsFinal: boolean
 	/** What is confirmed on one stream does not confirm calls of another. */
-	readonly ownStream: boolean
+	readonly confirmOwnStreamOnly: boolean
 	/** An order tells the end of the lease, not its length. */
 	readonly absoluteEnd: boolean
 	/** A coordinator that reads a connection finds the break of it. */
-	readonly breakIsSeen: boolean
+	readonly detectBreak: boolean
 	/** A caller comes back no earlier than the bound is past. */
-	readonly comeBackLate: boolean
+	readonly resubmitAfterBound: boolean
 	/** A coordinator that lost its stream places a job anew no earlier than the bound is past since it told of it last. */
-	readonly placeAnewLate: boolean
+	readonly rescheduleAfterBound: boolean
 	/** The placer's clock goes on while its machine is suspended. */
 	readonly countSuspension: boolean
 }
@@ -81,16 +81,16 @@
 	boundByOldest: true,
 	ageOfCall: true,
 	ageOfConfirmation: true,
-	lookBeforeStart: true,
-	presumeLease: true,
-	presumeAtFence: true,
+	checkLeaseBeforeStart: true,
+	assumeLongestLease: true,
+	assumeLeaseFromFence: true,
 	renewNoOrphans: true,
-	keepCancelled: true,
-	ownStream: true,
+	cancelIsFinal: true,
+	confirmOwnStreamOnly: true,
 	absoluteEnd: true,
-	breakIsSeen: true,
-	comeBackLate: true,
-	placeAnewLate: true,
+	detectBreak: true,
+	resubmitAfterBound: true,
+	rescheduleAfterBound: true,
 	countSuspension: true,
 })
 
--- a/packages/spec/src/exchange-protocol.ts
+++ b/packages/spec/src/exchange-protocol.ts
@@ -31,8 +31,8 @@
 	const answer = state.answers[index]!
 	const answers = again ? state.answers : state.answers.filter((_, i) => i !== index)
 	const isWaiting = state.taken[answer.at] === -1
-	const isMine = !guards.attemptId || answer.of === answer.at
-	if (!isWaiting || !isMine) return {...state, answers}
+	const isOwnAnswer = !guards.attemptId || answer.of === answer.at
+	if (!isWaiting || !isOwnAnswer) return {...state, answers}
 	return {
 		...state,
 		answers,
--- a/packages/spec/src/explore.ts
+++ b/packages/spec/src/explore.ts
@@ -21,7 +21,7 @@
 
 const STATE_LIMIT = 60_000
 
-interface Wrapped<State> {
+interface Snapshot<State> {
 	readonly context: State
 }
 
@@ -33,15 +33,15 @@
 	)
 }
 
-function optionsOf<State, Event extends {readonly type: string}>(
+function traversalOptions<State, Event extends {readonly type: string}>(
 	spec: Specification<State, Event>,
 ) {
 	return {
 		events: (snapshot: unknown) => {
-			const state = (snapshot as Wrapped<State>).context
+			const state = (snapshot as Snapshot<State>).context
 			return spec.violation(state) === undefined ? [...spec.enabled(state)] : []
 		},
-		serializeState: (snapshot: unknown) => JSON.stringify((snapshot as Wrapped<State>).context),
+		serializeState: (snapshot: unknown) => JSON.stringify((snapshot as Snapshot<State>).context),
 		serializeEvent: (event: unknown) => JSON.stringify(event),
 		limit: STATE_LIMIT,
 	}
@@ -52,10 +52,10 @@
 	spec: Specification<State, Event>,
 ): Exploration<Event> {
 	const logic = toLogic(spec)
-	const options = optionsOf(spec)
+	const options = traversalOptions(spec)
 	const map = getAdjacencyMap(logic as never, options as never)
 	const states = Object.values(map).map(
-		item => (item as unknown as {state: Wrapped<State>}).state.context,
+		item => (item as unknown as {state: Snapshot<State>}).state.context,
 	)
 	const broken = states.find(state => spec.violation(state) !== undefined)
 	if (broken === undefined) return {states: states.length}
@@ -65,11 +65,11 @@
 /** Returns shortest rows of events to all states for which `wanted` says what they show. */
 export function tracesTo<State, Event extends {readonly type: string}>(
 	spec: Specification<State, Event>,
-	wanted: (state: State) => string | undefined,
+	describe: (state: State) => string | undefined,
 ): readonly {readonly what: string; readonly events: readonly Event[]}[] {
-	const paths = getShortestPaths(toLogic(spec) as never, optionsOf(spec) as never)
+	const paths = getShortestPaths(toLogic(spec) as never, traversalOptions(spec) as never)
 	return paths.flatMap(path => {
-		const what = wanted((path.state as unknown as Wrapped<State>).context)
+		const what = describe((path.state as unknown as Snapshot<State>).context)
 		if (what === undefined) return []
 		const events = path.steps
 			.map(step => step.event as unknown as Event)
--- a/packages/spec/src/follow-protocol.ts
+++ b/packages/spec/src/follow-protocol.ts
@@ -21,7 +21,7 @@
 	/** What the reader asks to hear the changes after. */
 	readonly revision: number
 	/** The newest revision that a peer has named. */
-	readonly named: number
+	readonly peerRevision: number
 	readonly isRefreshDue: boolean
 }
 
@@ -61,18 +61,18 @@
 	phase: "before the first page",
 	known: {},
 	revision: 0,
-	named: 0,
+	peerRevision: 0,
 	isRefreshDue: false,
 })
 
 const revisionOf = ({changes}: FollowState) => changes.length
 
-function without(keys: Keys, key: string): Keys {
+function withoutKey(keys: Keys, key: string): Keys {
 	return Object.fromEntries(Object.entries(keys).filter(([name]) => name !== key))
 }
 
 function apply(keys: Keys, {key, type, revision}: Change): Keys {
-	return type === "write" ? {...keys, [key]: revision} : without(keys, key)
+	return type === "write" ? {...keys, [key]: revision} : withoutKey(keys, key)
 }
 
 const contentOf = ({changes}: FollowState): Keys => changes.reduce(apply, {})
@@ -83,24 +83,24 @@
 }
 
 /** A page's answer: the keys on it as they are now. */
-function takePage(state: FollowState, key: string): Keys {
+function applyPage(state: FollowState, key: string): Keys {
 	const found = contentOf(state)[key]
-	return found === undefined ? without(state.known, key) : {...state.known, [key]: found}
+	return found === undefined ? withoutKey(state.known, key) : {...state.known, [key]: found}
 }
 
 function answerPage(state: FollowState, guards: FollowGuards): FollowState {
 	const now = revisionOf(state)
 	if (state.phase === "before the first page") {
-		const known = takePage(state, FIRST_PAGE)
+		const known = applyPage(state, FIRST_PAGE)
 		return {...state, phase: "before the second page", known, revision: now}
 	}
-	const known = takePage(state, SECOND_PAGE)
+	const known = applyPage(state, SECOND_PAGE)
 	const revision = guards.firstPage ? state.revision : now
 	return {...state, phase: "following", known, revision}
 }
 
 /** What a reader makes of one answer. */
-function take(keys: Keys, told: readonly Change[], guards: FollowGuards): Keys {
+function applyAnswer(keys: Keys, told: readonly Change[], guards: FollowGuards): Keys {
 	const writes = told.filter(({type}) => type === "write")
 	const removals = told.filter(({type}) => type === "removal")
 	const [firstWrite] = writes
@@ -111,13 +111,17 @@
 
 function answerWatch(state: FollowState, guards: FollowGuards): FollowState {
 	const told = state.changes.filter(({revision}) => revision > state.revision)
-	const known = take(state.known, told, guards)
+	const known = applyAnswer(state.known, told, guards)
 	return {...state, known, revision: revisionOf(state)}
 }
 
 function peerNames(state: FollowState, guards: FollowGuards): FollowState {
-	const isNoted = guards.keepRefresh || state.phase === "following"
-	return {...state, named: revisionOf(state), isRefreshDue: state.isRefreshDue || isNoted}
+	const isRefreshNeeded = guards.keepRefresh || state.phase === "following"
+	return {
+		...state,
+		peerRevision: revisionOf(state),
+		isRefreshDue: state.isRefreshDue || isRefreshNeeded,
+	}
 }
 
 function next(state: FollowState, event: FollowEvent, guards: FollowGuards): FollowState {
@@ -145,7 +149,7 @@
 			if (contentOf(state)[key] !== undefined) events.push({type: "remove", key})
 		}
 	}
-	if (state.named < revisionOf(state)) events.push({type: "peerNames"})
+	if (state.peerRevision < revisionOf(state)) events.push({type: "peerNames"})
 	if (state.phase !== "following") events.push({type: "answerPage"})
 	else if (state.isRefreshDue) events.push({type: "refresh"})
 	else if (state.revision < revisionOf(state)) events.push({type: "answerWatch"})
@@ -155,7 +159,7 @@
 function violation(state: FollowState): string | undefined {
 	if (state.phase !== "following" || state.isRefreshDue) return undefined
 	// A watch may lie on a connection that says nothing more, so what a peer names must not wait for it.
-	if (state.named > state.revision) return "what a peer named was forgotten"
+	if (state.peerRevision > state.revision) return "what a peer named was forgotten"
 	if (state.revision < revisionOf(state)) return undefined
 	const isSame = KEYS.every(key => state.known[key] === contentOf(state)[key])
 	return isSame ? undefined : "a reader that heard everything knows something else"
--- a/packages/spec/src/handed-over-protocol.ts
+++ b/packages/spec/src/handed-over-protocol.ts
@@ -22,26 +22,26 @@
 
 export interface HandedOverState {
 	/** Ticks since the caller lost its connection; undefined while it waits. */
-	readonly brokenFor: number | undefined
+	readonly ticksSinceBreak: number | undefined
 	/** A coordinator that has given the call up confirms it no more. */
 	readonly hasCoordinatorGivenUp: boolean
 	/** Age of the latest moment as of which the coordinator knows that it wanted the call. */
-	readonly wantedAge: number
+	readonly coordinatorConfirmedAge: number
 	/** The placer wants the task no more: it has read the cancel, or has answered with the end left open. */
 	readonly isUnwanted: boolean
 	/** Age of the moment that the placer takes for the caller's confirmation. */
-	readonly heldAge: number
+	readonly placerConfirmedAge: number
 	readonly call: "unsent" | "under way" | "read"
 	/** Age of the moment that the host takes for the confirmation, or that the call under way tells. */
-	readonly hostAge: number
+	readonly hostConfirmedAge: number
 	/** Ticks that are left of the bound that the call alone gave. */
-	readonly callLeft: number
+	readonly callBoundLeft: number
 	/** Age of the moment that the confirmation to the host tells; undefined when none is under way. */
-	readonly passed: number | undefined
+	readonly confirmation: number | undefined
 	/** Ticks since the placer sent the host anything that confirms the task. */
-	readonly sentFor: number
+	readonly ticksSinceSent: number
 	/** Ticks since the placer gave the host up; undefined while it waits for its answer. */
-	readonly givenUpFor: number | undefined
+	readonly ticksSinceGivenUp: number | undefined
 	readonly hostRun: Run
 	readonly ownRun: Run
 	/** The caller has come back, and the task runs at a third placer. */
@@ -50,9 +50,9 @@
 
 export interface HandedOverGuards {
 	/** What a placer passes on is the caller's confirmation, not its own wish. */
-	readonly passCallers: boolean
+	readonly forwardCallerConfirmation: boolean
 	/** What is passed on is the confirmation of that call, not of the stream that it came on. */
-	readonly passOwnCalls: boolean
+	readonly forwardPerCall: boolean
 	/** A call that arrives at the host is as old as what it tells. */
 	readonly ageOfCall: boolean
 	/** A confirmation that arrives at the host is as old as what it tells. */
@@ -62,8 +62,8 @@
 }
 
 export const ALL_HANDED_OVER_GUARDS: HandedOverGuards = Object.freeze({
-	passCallers: true,
-	passOwnCalls: true,
+	forwardCallerConfirmation: true,
+	forwardPerCall: true,
 	ageOfCall: true,
 	ageOfConfirmation: true,
 	waitFromSent: true,
@@ -92,47 +92,60 @@
 type EventType = HandedOverEvent["type"]
 
 const INITIAL: HandedOverState = Object.freeze({
-	brokenFor: undefined,
+	ticksSinceBreak: undefined,
 	hasCoordinatorGivenUp: false,
-	wantedAge: 0,
+	coordinatorConfirmedAge: 0,
 	isUnwanted: false,
-	heldAge: 0,
+	placerConfirmedAge: 0,
 	call: "unsent",
-	hostAge: STALE_TICKS,
-	callLeft: 0,
-	passed: undefined,
-	sentFor: BOUND_TICKS,
-	givenUpFor: undefined,
+	hostConfirmedAge: STALE_TICKS,
+	callBoundLeft: 0,
+	confirmation: undefined,
+	ticksSinceSent: BOUND_TICKS,
+	ticksSinceGivenUp: undefined,
 	hostRun: "none",
 	ownRun: "none",
 	runsAgain: false,
 })
 
 /** What the placer tells the host of the caller. Others on the caller's stream are confirmed all the time. */
-function toldAge(state: HandedOverState, {passCallers, passOwnCalls}: HandedOverGuards): number {
-	const isOthers = state.isUnwanted && !passOwnCalls
-	return passCallers && !isOthers ? state.heldAge : 0
+function forwardedAge(
+	state: HandedOverState,
+	{forwardCallerConfirmation, forwardPerCall}: HandedOverGuards,
+): number {
+	const isOthers = state.isUnwanted && !forwardPerCall
+	return forwardCallerConfirmation && !isOthers ? state.placerConfirmedAge : 0
 }
 
 /** The coordinator answers its caller in the same moment, which is the earliest. */
 function answerOpen(state: HandedOverState): HandedOverState {
-	const brokenFor = state.brokenFor ?? 0
-	return {...state, brokenFor, hasCoordinatorGivenUp: true, isUnwanted: true}
+	const ticksSinceBreak = state.ticksSinceBreak ?? 0
+	return {...state, ticksSinceBreak, hasCoordinatorGivenUp: true, isUnwanted: true}
 }
 
 function readConnections(state: HandedOverState): HandedOverState {
-	if (state.brokenFor !== undefined) return {...state, hasCoordinatorGivenUp: true}
-	return {...state, wantedAge: 0}
+	if (state.ticksSinceBreak !== undefined) return {...state, hasCoordinatorGivenUp: true}
+	return {...state, coordinatorConfirmedAge: 0}
 }
 
 function sendCall(state: HandedOverState, guards: HandedOverGuards): HandedOverState {
-	const hostAge = toldAge(state, guards)
-	return {...state, call: "under way", hostAge, callLeft: BOUND_TICKS - hostAge, sentFor: 0}
+	const hostConfirmedAge = forwardedAge(state, guards)
+	return {
+		...state,
+		call: "under way",
+		hostConfirmedAge,
+		callBoundLeft: BOUND_TICKS - hostConfirmedAge,
+		ticksSinceSent: 0,
+	}
 }
 
-function readPassed(state: HandedOverState, guards: HandedOverGuards): HandedOverState {
-	const age = guards.ageOfConfirmation ? (state.passed ?? STALE_TICKS) : 0
-	return {...state, passed: undefined, hostAge: Math.min(state.hostAge, age)}
+function readConfirmation(state: HandedOverState, guards: HandedOverGuards): HandedOverState {
+	const age = guards.ageOfConfirmation ? (state.confirmation ?? STALE_TICKS) : 0
+	return {
+		...state,
+		confirmation: undefined,
+		hostConfirmedAge: Math.min(state.hostConfirmedAge, age),
+	}
 }
 
 const older = (age: number) => Math.min(STALE_TICKS, age + 1)
@@ -141,20 +154,20 @@
 	run === "running" && age >= STALE_TICKS ? "ended" : run
 
 function tick(state: HandedOverState): HandedOverState {
-	const heldAge = older(state.heldAge)
-	const hostAge = older(state.hostAge)
+	const placerConfirmedAge = older(state.placerConfirmedAge)
+	const hostConfirmedAge = older(state.hostConfirmedAge)
 	return {
 		...state,
-		brokenFor: olderIfAny(state.brokenFor),
-		wantedAge: older(state.wantedAge),
-		heldAge,
-		hostAge,
-		callLeft: Math.max(0, state.callLeft - 1),
-		passed: olderIfAny(state.passed),
-		sentFor: older(state.sentFor),
-		givenUpFor: olderIfAny(state.givenUpFor),
-		hostRun: endIfStale(state.hostRun, hostAge),
-		ownRun: endIfStale(state.ownRun, heldAge),
+		ticksSinceBreak: olderIfAny(state.ticksSinceBreak),
+		coordinatorConfirmedAge: older(state.coordinatorConfirmedAge),
+		placerConfirmedAge,
+		hostConfirmedAge,
+		callBoundLeft: Math.max(0, state.callBoundLeft - 1),
+		confirmation: olderIfAny(state.confirmation),
+		ticksSinceSent: older(state.ticksSinceSent),
+		ticksSinceGivenUp: olderIfAny(state.ticksSinceGivenUp),
+		hostRun: endIfStale(state.hostRun, hostConfirmedAge),
+		ownRun: endIfStale(state.ownRun, placerConfirmedAge),
 	}
 }
 
@@ -167,11 +180,14 @@
 		case "connections read":
 			return readConnections(state)
 		case "connection breaks":
-			return {...state, brokenFor: 0}
+			return {...state, ticksSinceBreak: 0}
 		case "coordinator dies":
-			return {...state, brokenFor: state.brokenFor ?? 0, hasCoordinatorGivenUp: true}
+			return {...state, ticksSinceBreak: state.ticksSinceBreak ?? 0, hasCoordinatorGivenUp: true}
 		case "confirmation read":
-			return {...state, heldAge: Math.min(state.heldAge, state.wantedAge)}
+			return {
+				...state,
+				placerConfirmedAge: Math.min(state.placerConfirmedAge, state.coordinatorConfirmedAge),
+			}
 		case "cancel read":
 			return {...state, isUnwanted: true}
 		case "placer answers open":
@@ -179,17 +195,21 @@
 		case "call sent":
 			return sendCall(state, guards)
 		case "call read":
-			return {...state, call: "read", hostAge: guards.ageOfCall ? state.hostAge : 0}
+			return {
+				...state,
+				call: "read",
+				hostConfirmedAge: guards.ageOfCall ? state.hostConfirmedAge : 0,
+			}
 		case "confirmation passed on":
-			return {...state, passed: toldAge(state, guards), sentFor: 0}
+			return {...state, confirmation: forwardedAge(state, guards), ticksSinceSent: 0}
 		case "confirmation passed on read":
-			return readPassed(state, guards)
+			return readConfirmation(state, guards)
 		case "host starts":
 			return {...state, hostRun: "running"}
 		case "host's run stops":
 			return {...state, hostRun: "ended"}
 		case "host given up":
-			return {...state, givenUpFor: 0}
+			return {...state, ticksSinceGivenUp: 0}
 		case "placer runs it again":
 			return {...state, ownRun: "running"}
 		case "caller comes back":
@@ -200,40 +220,48 @@
 }
 
 /** Whether the placer takes the host's run as ended, by its answer or by the time that has passed. */
-function isTakenAsEnded(state: HandedOverState, guards: HandedOverGuards): boolean {
+function isHostRunOver(state: HandedOverState, guards: HandedOverGuards): boolean {
 	if (state.hostRun === "ended") return true
-	if (state.givenUpFor === undefined) return false
-	if (guards.waitFromSent) return state.sentFor >= BOUND_TICKS
-	return state.givenUpFor >= SHORT_WAIT_TICKS
+	if (state.ticksSinceGivenUp === undefined) return false
+	if (guards.waitFromSent) return state.ticksSinceSent >= BOUND_TICKS
+	return state.ticksSinceGivenUp >= SHORT_WAIT_TICKS
 }
 
 function mayRunAgain(state: HandedOverState, guards: HandedOverGuards): boolean {
-	const isWanted = !state.isUnwanted && state.heldAge < STALE_TICKS
-	return isWanted && state.ownRun === "none" && isTakenAsEnded(state, guards)
+	const isWanted = !state.isUnwanted && state.placerConfirmedAge < STALE_TICKS
+	return isWanted && state.ownRun === "none" && isHostRunOver(state, guards)
 }
 
 function enabled(state: HandedOverState, guards: HandedOverGuards): readonly HandedOverEvent[] {
-	const {brokenFor, call, hostRun, isUnwanted, givenUpFor} = state
+	const {ticksSinceBreak, call, hostRun, isUnwanted, ticksSinceGivenUp} = state
 	const isConfirming = !state.hasCoordinatorGivenUp
-	const isWithHost = call !== "unsent" && givenUpFor === undefined && hostRun !== "ended"
-	const isFresh = state.heldAge < STALE_TICKS
-	const isNews = toldAge(state, guards) < Math.min(state.hostAge, state.passed ?? STALE_TICKS)
+	const isHostInvolved = call !== "unsent" && ticksSinceGivenUp === undefined && hostRun !== "ended"
+	const isFresh = state.placerConfirmedAge < STALE_TICKS
+	const isNewer =
+		forwardedAge(state, guards) <
+		Math.min(state.hostConfirmedAge, state.confirmation ?? STALE_TICKS)
 	const rules: readonly (readonly [EventType, boolean])[] = [
-		["connections read", isConfirming && (state.wantedAge > 0 || brokenFor !== undefined)],
-		["connection breaks", brokenFor === undefined],
+		[
+			"connections read",
+			isConfirming && (state.coordinatorConfirmedAge > 0 || ticksSinceBreak !== undefined),
+		],
+		["connection breaks", ticksSinceBreak === undefined],
 		["coordinator dies", isConfirming],
-		["confirmation read", !isUnwanted && state.wantedAge < state.heldAge],
+		["confirmation read", !isUnwanted && state.coordinatorConfirmedAge < state.placerConfirmedAge],
 		["cancel read", !isConfirming && !isUnwanted],
 		["placer answers open", isConfirming && !isUnwanted],
 		["call sent", call === "unsent" && !isUnwanted && isFresh],
 		["call read", call === "under way"],
-		["confirmation passed on", isWithHost && isNews && (!isUnwanted || !guards.passOwnCalls)],
-		["confirmation passed on read", call === "read" && state.passed !== undefined],
-		["host starts", call === "read" && hostRun === "none" && state.hostAge < STALE_TICKS],
+		[
+			"confirmation passed on",
+			isHostInvolved && isNewer && (!isUnwanted || !guards.forwardPerCall),
+		],
+		["confirmation passed on read", call === "read" && state.confirmation !== undefined],
+		["host starts", call === "read" && hostRun === "none" && state.hostConfirmedAge < STALE_TICKS],
 		["host's run stops", hostRun === "running"],
-		["host given up", isWithHost],
+		["host given up", isHostInvolved],
 		["placer runs it again", mayRunAgain(state, guards)],
-		["caller comes back", !state.runsAgain && brokenFor === RESUBMIT_TICKS],
+		["caller comes back", !state.runsAgain && ticksSinceBreak === RESUBMIT_TICKS],
 		["tick", true],
 	]
 	return rules.filter(([, isEnabled]) => isEnabled).map(([type]) => ({type}))
--- a/packages/spec/src/handover-protocol.ts
+++ b/packages/spec/src/handover-protocol.ts
@@ -16,7 +16,7 @@
 	/** The map's write, on its way to the store. */
 	readonly message: boolean
 	readonly mapOwner: "a" | "b"
-	readonly bKnows: boolean
+	readonly bHasIntent: boolean
 	readonly starts: number
 	/** Copies of the submission that have not been sent. */
 	readonly copies: number
@@ -52,7 +52,7 @@
 	release: "none",
 	message: false,
 	mapOwner: "a",
-	bKnows: false,
+	bHasIntent: false,
 	starts: 0,
 	copies: 2,
 })
@@ -73,14 +73,14 @@
 			return {...state, release: "in doubt"}
 		case "a decides": {
 			// Without the guard the write counts as failed, and `a` serves on.
-			const isGiven = guards.definite || state.mapOwner === "b"
-			return {...state, release: "done", aServes: !isGiven}
+			const isHandedOver = guards.definite || state.mapOwner === "b"
+			return {...state, release: "done", aServes: !isHandedOver}
 		}
 		case "b serves":
-			return {...state, bServes: true, bKnows: state.aDurable}
+			return {...state, bServes: true, bHasIntent: state.aDurable}
 		case "submit to b": {
 			const left = {...state, copies: state.copies - 1}
-			return state.bKnows ? left : {...left, bKnows: true, starts: state.starts + 1}
+			return state.bHasIntent ? left : {...left, bHasIntent: true, starts: state.starts + 1}
 		}
 	}
 }
--- a/packages/spec/src/keeper-protocol.ts
+++ b/packages/spec/src/keeper-protocol.ts
@@ -10,8 +10,8 @@
 	/** Whose claim the store holds. */
 	readonly claim: "first" | "successor"
 	/** Writes of the first placer, on their way. */
-	readonly isCreateFlying: boolean
-	readonly isNoteFlying: boolean
+	readonly isCreateInFlight: boolean
+	readonly isEndWriteInFlight: boolean
 	readonly wasCreateSent: boolean
 	readonly isAccepted: boolean
 	readonly isFirstDead: boolean
@@ -19,9 +19,9 @@
 	readonly run: "unsent" | "running" | "listed as done" | "forgotten"
 	readonly hasSuccessorFenced: boolean
 	/** What the successor read in the store; undefined before. */
-	readonly wasRead: "absent" | "open" | "done" | undefined
+	readonly readRecord: "absent" | "open" | "done" | undefined
 	/** The successor knows the run, or its end, from the executor. */
-	readonly isKnown: boolean
+	readonly isRunKnown: boolean
 	/** The task runs a second time, started by the successor. */
 	readonly secondRuns: boolean
 	readonly wasEndedBefore: boolean
@@ -31,9 +31,9 @@
 	/** A submitter is told that its job is kept only once the record stands. */
 	readonly recordFirst: boolean
 	/** An executor may forget an end only once the store has it. */
-	readonly noteFirst: boolean
+	readonly recordEndFirst: boolean
 	/** All writes hold only under the writer's claim. */
-	readonly underClaim: boolean
+	readonly writeUnderClaim: boolean
 	/** The successor reads the store only once it has the claim. */
 	readonly readAfterClaim: boolean
 	/** The successor starts nothing before it knows what the executor runs and lists. */
@@ -42,8 +42,8 @@
 
 export const ALL_KEEPER_GUARDS: KeeperGuards = Object.freeze({
 	recordFirst: true,
-	noteFirst: true,
-	underClaim: true,
+	recordEndFirst: true,
+	writeUnderClaim: true,
 	readAfterClaim: true,
 	holdFirst: true,
 })
@@ -68,29 +68,29 @@
 const INITIAL: KeeperState = Object.freeze({
 	record: "absent",
 	claim: "first",
-	isCreateFlying: false,
-	isNoteFlying: false,
+	isCreateInFlight: false,
+	isEndWriteInFlight: false,
 	wasCreateSent: false,
 	isAccepted: false,
 	isFirstDead: false,
 	run: "unsent",
 	hasSuccessorFenced: false,
-	wasRead: undefined,
-	isKnown: false,
+	readRecord: undefined,
+	isRunKnown: false,
 	secondRuns: false,
 	wasEndedBefore: false,
 })
 
-const mayWrite = ({claim}: KeeperState, {underClaim}: KeeperGuards) =>
-	claim === "first" || !underClaim
+const mayWrite = ({claim}: KeeperState, {writeUnderClaim}: KeeperGuards) =>
+	claim === "first" || !writeUnderClaim
 
 function next(state: KeeperState, {type}: KeeperEvent, guards: KeeperGuards): KeeperState {
 	switch (type) {
 		case "send create":
-			return {...state, isCreateFlying: true, wasCreateSent: true}
+			return {...state, isCreateInFlight: true, wasCreateSent: true}
 		case "create arrives": {
 			const isWritten = mayWrite(state, guards) && state.record === "absent"
-			return {...state, isCreateFlying: false, record: isWritten ? "open" : state.record}
+			return {...state, isCreateInFlight: false, record: isWritten ? "open" : state.record}
 		}
 		case "tell accepted":
 			return {...state, isAccepted: true}
@@ -99,10 +99,10 @@
 		case "run ends":
 			return {...state, run: "listed as done"}
 		case "send note":
-			return {...state, isNoteFlying: true}
+			return {...state, isEndWriteInFlight: true}
 		case "note arrives": {
 			const isWritten = mayWrite(state, guards) && state.record === "open"
-			return {...state, isNoteFlying: false, record: isWritten ? "done" : state.record}
+			return {...state, isEndWriteInFlight: false, record: isWritten ? "done" : state.record}
 		}
 		case "forget":
 			return {...state, run: "forgotten"}
@@ -111,10 +111,10 @@
 		case "successor claims":
 			return {...state, claim: "successor"}
 		case "successor reads":
-			return {...state, wasRead: state.record}
+			return {...state, readRecord: state.record}
 		case "successor holds": {
-			const isKnown = state.run === "running" || state.run === "listed as done"
-			return {...state, hasSuccessorFenced: true, isKnown}
+			const isRunKnown = state.run === "running" || state.run === "listed as done"
+			return {...state, hasSuccessorFenced: true, isRunKnown}
 		}
 		case "successor starts": {
 			const wasEndedBefore = state.record === "done" || state.run === "forgotten"
@@ -125,9 +125,9 @@
 
 /** The successor starts what it read as open and did not find on the executor. */
 function mayStartAgain(state: KeeperState, {holdFirst}: KeeperGuards): boolean {
-	const hasRead = state.claim === "successor" && state.wasRead === "open"
-	const hasLooked = state.hasSuccessorFenced || !holdFirst
-	return hasRead && hasLooked && !state.isKnown && !state.secondRuns
+	const hasRead = state.claim === "successor" && state.readRecord === "open"
+	const hasListedRuns = state.hasSuccessorFenced || !holdFirst
+	return hasRead && hasListedRuns && !state.isRunKnown && !state.secondRuns
 }
 
 function enabled(state: KeeperState, guards: KeeperGuards): readonly KeeperEvent[] {
@@ -137,22 +137,24 @@
 	const mayRead = state.claim === "successor" || !guards.readAfterClaim
 	const rules: readonly (readonly [KeeperEvent["type"], boolean])[] = [
 		["send create", isFirst && !state.wasCreateSent],
-		["create arrives", state.isCreateFlying],
+		["create arrives", state.isCreateInFlight],
 		[
 			"tell accepted",
 			isFirst && state.wasCreateSent && !state.isAccepted && (isRecorded || !guards.recordFirst),
 		],
 		["start", mayOrder && isRecorded && state.run === "unsent"],
 		["run ends", state.run === "running"],
-		["send note", isFirst && state.run === "listed as done" && !state.isNoteFlying],
+		["send note", isFirst && state.run === "listed as done" && !state.isEndWriteInFlight],
 		[
 			"forget",
-			mayOrder && state.run === "listed as done" && (state.record === "done" || !guards.noteFirst),
+			mayOrder &&
+				state.run === "listed as done" &&
+				(state.record === "done" || !guards.recordEndFirst),
 		],
-		["note arrives", state.isNoteFlying],
+		["note arrives", state.isEndWriteInFlight],
 		["first dies", isFirst],
 		["successor claims", state.claim === "first"],
-		["successor reads", mayRead && state.wasRead === undefined],
+		["successor reads", mayRead && state.readRecord === undefined],
 		["successor holds", state.claim === "successor" && !state.hasSuccessorFenced],
 		["successor starts", mayStartAgain(state, guards)],
 	]
@@ -162,9 +164,9 @@
 function violation(state: KeeperState): string | undefined {
 	if (state.secondRuns && state.run === "running") return "a task ran twice at once"
 	if (state.wasEndedBefore) return "a task ran again after its end was noted"
-	if (!state.isAccepted || !state.isFirstDead || state.isCreateFlying) return undefined
+	if (!state.isAccepted || !state.isFirstDead || state.isCreateInFlight) return undefined
 	if (state.record === "absent") return "an accepted job was lost"
-	const isOverlooked = state.record === "open" && state.wasRead === "absent"
+	const isOverlooked = state.record === "open" && state.readRecord === "absent"
 	return isOverlooked ? "an accepted job belongs to nobody" : undefined
 }
 
--- a/packages/spec/src/owner-protocol.ts
+++ b/packages/spec/src/owner-protocol.ts
@@ -9,9 +9,9 @@
 export type Session = "a" | "b"
 export type Entry = "none" | "pending" | "closing" | "parked" | "running" | "closed" | "inherited"
 export type RecordType = "intent" | "closed"
-export type Value = RecordType | "seal"
+export type JournalValue = RecordType | "seal"
 
-export interface Side {
+export interface SessionState {
 	readonly alive: boolean
 	readonly owns: boolean
 	readonly entry: Entry
@@ -26,11 +26,11 @@
 }
 
 export interface OwnerState {
-	readonly a: Side
-	readonly b: Side
+	readonly a: SessionState
+	readonly b: SessionState
 	/** The values of each session's journal, in order. */
-	readonly journalA: readonly Value[]
-	readonly journalB: readonly Value[]
+	readonly journalA: readonly JournalValue[]
+	readonly journalB: readonly JournalValue[]
 	/** How far the successor's takeover is; a number is the length that it listed. */
 	readonly takeover: "idle" | "sealed" | "done" | number
 	/** Where each copy of the submission is. */
@@ -51,7 +51,7 @@
 	readonly inherit: boolean
 }
 
-export const ALL_GUARDS: OwnerGuards = Object.freeze({
+export const ALL_OWNER_GUARDS: OwnerGuards = Object.freeze({
 	seal: true,
 	intentFirst: true,
 	readBack: true,
@@ -72,7 +72,7 @@
 	| {readonly type: "seal"}
 	| {readonly type: "serve"}
 
-const NEW_SIDE = Object.freeze<Side>({
+const NEW_SESSION_STATE = Object.freeze<SessionState>({
 	alive: true,
 	owns: false,
 	entry: "none",
@@ -83,8 +83,8 @@
 })
 
 export const OWNER_INITIAL = Object.freeze<OwnerState>({
-	a: {...NEW_SIDE, owns: true},
-	b: NEW_SIDE,
+	a: {...NEW_SESSION_STATE, owns: true},
+	b: NEW_SESSION_STATE,
 	journalA: [],
 	journalB: [],
 	takeover: "idle",
@@ -92,7 +92,11 @@
 	starts: 0,
 })
 
-function withSide(state: OwnerState, session: Session, change: Partial<Side>): OwnerState {
+function withSession(
+	state: OwnerState,
+	session: Session,
+	change: Partial<SessionState>,
+): OwnerState {
 	return {...state, [session]: {...state[session], ...change}}
 }
 
@@ -107,21 +111,21 @@
 /** Answers all copies that wait at a session. */
 function answerAll(state: OwnerState, session: Session, answer: "not run" | "unknown" | "value") {
 	const answered = withCopies(state, state[session].waiting, answer)
-	return withSide(answered, session, {waiting: []})
+	return withSession(answered, session, {waiting: []})
 }
 
 function start(state: OwnerState, session: Session): OwnerState {
-	const started = {...withSide(state, session, {entry: "running"}), starts: state.starts + 1}
+	const started = {...withSession(state, session, {entry: "running"}), starts: state.starts + 1}
 	return answerAll(started, session, "value")
 }
 
 function write(state: OwnerState, session: Session, record: RecordType): OwnerState {
-	return withSide(state, session, {writing: record, message: true, answer: "none"})
+	return withSession(state, session, {writing: record, message: true, answer: "none"})
 }
 
 function hold(state: OwnerState, session: Session, copy: number): OwnerState {
 	const held = withCopies(state, [copy], "held")
-	return withSide(held, session, {waiting: [...held[session].waiting, copy]})
+	return withSession(held, session, {waiting: [...held[session].waiting, copy]})
 }
 
 function arrive(state: OwnerState, copy: number, admit: boolean, guards: OwnerGuards): OwnerState {
@@ -147,18 +151,18 @@
 
 function accept(state: OwnerState, session: Session, copy: number, guards: OwnerGuards) {
 	const held = hold(state, session, copy)
-	const pending = write(withSide(held, session, {entry: "pending"}), session, "intent")
+	const pending = write(withSession(held, session, {entry: "pending"}), session, "intent")
 	return guards.intentFirst ? pending : start(pending, session)
 }
 
 function refuse(state: OwnerState, session: Session, copy: number, guards: OwnerGuards) {
 	const held = hold(state, session, copy)
-	const closing = write(withSide(held, session, {entry: "closing"}), session, "closed")
+	const closing = write(withSession(held, session, {entry: "closing"}), session, "closed")
 	if (guards.closeFirst) return closing
-	return answerAll(withSide(closing, session, {entry: "closed"}), session, "not run")
+	return answerAll(withSession(closing, session, {entry: "closed"}), session, "not run")
 }
 
-function journalOf(state: OwnerState, session: Session): readonly Value[] {
+function journalOf(state: OwnerState, session: Session): readonly JournalValue[] {
 	return session === "a" ? state.journalA : state.journalB
 }
 
@@ -168,7 +172,7 @@
 	const record = state[session].writing as RecordType
 	const isOwn = journal.includes(record)
 	const isSealed = !isOwn && journal.includes("seal")
-	const taken = withSide(state, session, {
+	const taken = withSession(state, session, {
 		message: false,
 		answer: !answers ? "none" : isOwn ? "own" : isSealed ? "sealed" : "created",
 	})
@@ -179,26 +183,26 @@
 
 function becomeDurable(state: OwnerState, session: Session): OwnerState {
 	const side = state[session]
-	const settled = withSide(state, session, {writing: "none", message: false, answer: "none"})
+	const settled = withSession(state, session, {writing: "none", message: false, answer: "none"})
 	if (side.entry === "closing") {
-		return answerAll(withSide(settled, session, {entry: "closed"}), session, "not run")
+		return answerAll(withSession(settled, session, {entry: "closed"}), session, "not run")
 	}
 	if (side.entry !== "pending") return settled
 	if (side.waiting.length > 0) return start(settled, session)
 	// Nobody waits any more: the intent stands in the journal, and the work waits for a copy.
-	return withSide(settled, session, {entry: "parked"})
+	return withSession(settled, session, {entry: "parked"})
 }
 
 function answerArrives(state: OwnerState, session: Session): OwnerState {
 	const {answer} = state[session]
 	if (answer !== "sealed") return becomeDurable(state, session)
 	const lost = answerAll(state, session, "unknown")
-	return withSide(lost, session, {writing: "none", answer: "none", entry: "none", owns: false})
+	return withSession(lost, session, {writing: "none", answer: "none", entry: "none", owns: false})
 }
 
 function timeout(state: OwnerState, session: Session, guards: OwnerGuards): OwnerState {
 	if (!guards.readBack) return becomeDurable(state, session)
-	return withSide(state, session, {message: true})
+	return withSession(state, session, {message: true})
 }
 
 function serve(state: OwnerState, guards: OwnerGuards): OwnerState {
@@ -208,7 +212,7 @@
 		: listed.includes("intent")
 			? "inherited"
 			: "none"
-	const served = withSide(state, "b", {owns: true, entry: guards.inherit ? entry : "none"})
+	const served = withSession(state, "b", {owns: true, entry: guards.inherit ? entry : "none"})
 	return {...served, takeover: "done"}
 }
 
@@ -221,7 +225,7 @@
 		case "storeTakes":
 			return storeTakes(state, event.session, event.answers)
 		case "storeDrops":
-			return withSide(state, event.session, {message: false})
+			return withSession(state, event.session, {message: false})
 		case "answerArrives":
 			return answerArrives(state, event.session)
 		case "timeout":
@@ -229,7 +233,7 @@
 		case "giveUp":
 			return answerAll(state, event.session, "unknown")
 		case "crash":
-			return withSide(answerAll(state, event.session, "unknown"), event.session, {
+			return withSession(answerAll(state, event.session, "unknown"), event.session, {
 				alive: false,
 				owns: false,
 				answer: "none",
@@ -246,7 +250,7 @@
 	}
 }
 
-function eventsOfSide(state: OwnerState, session: Session): readonly OwnerEvent[] {
+function sessionEvents(state: OwnerState, session: Session): readonly OwnerEvent[] {
 	const side = state[session]
 	const events: OwnerEvent[] = []
 	if (side.message) {
@@ -256,15 +260,15 @@
 	}
 	if (!side.alive) return events
 	if (side.answer !== "none") events.push({type: "answerArrives", session})
-	const isSilent = side.writing !== "none" && !side.message && side.answer === "none"
-	if (isSilent) events.push({type: "timeout", session})
+	const isUnanswered = side.writing !== "none" && !side.message && side.answer === "none"
+	if (isUnanswered) events.push({type: "timeout", session})
 	if (side.waiting.length > 0) events.push({type: "giveUp", session})
 	if (side.owns) events.push({type: "crash", session})
 	return events
 }
 
 function enabled(state: OwnerState): readonly OwnerEvent[] {
-	const events: OwnerEvent[] = [...eventsOfSide(state, "a"), ...eventsOfSide(state, "b")]
+	const events: OwnerEvent[] = [...sessionEvents(state, "a"), ...sessionEvents(state, "b")]
 	state.copies.forEach((where, copy) => {
 		if (where === "caller") {
 			events.push({type: "send", copy, to: "a"}, {type: "send", copy, to: "b"})
@@ -289,7 +293,7 @@
 
 /** The specification with some guards off, so that the checker can be seen to fail. */
 export function ownerProtocol(
-	guards: OwnerGuards = ALL_GUARDS,
+	guards: OwnerGuards = ALL_OWNER_GUARDS,
 ): Specification<OwnerState, OwnerEvent> {
 	return {
 		initial: OWNER_INITIAL,
--- a/packages/spec/src/placer-protocol.ts
+++ b/packages/spec/src/placer-protocol.ts
@@ -18,7 +18,7 @@
 
 export interface PlacerState {
 	/** The start order of the first run, on its way. */
-	readonly isOrderFlying: boolean
+	readonly isOrderInFlight: boolean
 	/** The first run is there. */
 	readonly firstRuns: boolean
 	/** The executor was told to stop the first run, whether it was there or not. */
@@ -27,7 +27,7 @@
 	readonly seenFence: 1 | 2
 	readonly hasLeaseEnded: boolean
 	/** The first placer and the first executor are cut off from each other. */
-	readonly isCut: boolean
+	readonly isPartitioned: boolean
 	readonly isFirstPlacerDead: boolean
 	readonly hasSuccessorFenced: boolean
 	readonly belief: Belief
@@ -70,12 +70,12 @@
 }
 
 const INITIAL: PlacerState = Object.freeze({
-	isOrderFlying: false,
+	isOrderInFlight: false,
 	firstRuns: false,
 	wasStopped: false,
 	seenFence: 1,
 	hasLeaseEnded: false,
-	isCut: false,
+	isPartitioned: false,
 	isFirstPlacerDead: false,
 	hasSuccessorFenced: false,
 	belief: "unsent",
@@ -87,13 +87,13 @@
 	const isFenced = guards.fence && state.seenFence === 2
 	const isLate = guards.deadline && state.hasLeaseEnded
 	const isTaken = !isFenced && !isLate && !state.wasStopped
-	return {...state, isOrderFlying: false, firstRuns: state.firstRuns || isTaken}
+	return {...state, isOrderInFlight: false, firstRuns: state.firstRuns || isTaken}
 }
 
 function next(state: PlacerState, {type}: PlacerEvent, guards: PlacerGuards): PlacerState {
 	switch (type) {
 		case "send start":
-			return {...state, isOrderFlying: true, belief: "sent"}
+			return {...state, isOrderInFlight: true, belief: "sent"}
 		case "order arrives":
 			return arrive(state, guards)
 		case "miss answer":
@@ -101,7 +101,7 @@
 		case "stop answered":
 			return {...state, firstRuns: false, wasStopped: true, belief: "settled"}
 		case "cut":
-			return {...state, isCut: true}
+			return {...state, isPartitioned: true}
 		case "lease ends":
 			return {...state, hasLeaseEnded: true, firstRuns: false}
 		case "settle by lease":
@@ -131,14 +131,14 @@
 
 function enabled(state: PlacerState, guards: PlacerGuards): readonly PlacerEvent[] {
 	const isPlacing = !state.isFirstPlacerDead
-	const canOrder = isPlacing && !state.isCut
+	const canOrder = isPlacing && !state.isPartitioned
 	const isRenewed = canOrder || state.hasSuccessorFenced
 	const rules: readonly (readonly [PlacerEvent["type"], boolean])[] = [
 		["send start", canOrder && state.belief === "unsent"],
-		["order arrives", state.isOrderFlying],
+		["order arrives", state.isOrderInFlight],
 		["miss answer", isPlacing && state.belief === "sent"],
 		["stop answered", canOrder && state.belief === "silent"],
-		["cut", !state.isCut],
+		["cut", !state.isPartitioned],
 		["lease ends", !isRenewed && !state.hasLeaseEnded],
 		["settle by lease", isPlacing && state.belief === "silent" && state.hasLeaseEnded],
 		["first placer dies", isPlacing],
--- a/packages/spec/src/slices-protocol.ts
+++ b/packages/spec/src/slices-protocol.ts
@@ -6,7 +6,7 @@
 import type {Specification} from "./explore.js"
 
 /** Fences of the new slice begin here, where they have a range of their own. */
-const RANGE = 10
+const FENCE_RANGE = 10
 /** Successors of the placer before, none of which needs to know of the new slice. */
 const MAX_SUCCESSIONS = 2
 
@@ -16,21 +16,21 @@
 	/** Of the slice that has had the executor so far. */
 	readonly oldFence: number
 	/** Its placer has heard of the new slice, and gives the executor up. */
-	readonly hasOldHeard: boolean
+	readonly hasOldPlacerHeard: boolean
 	/** The fence of its start order on the way; 0 without one. */
-	readonly flyingFence: number
+	readonly inFlightFence: number
 	readonly oldRuns: boolean
 	/** Of the new slice; 0 before it is claimed. */
 	readonly newFence: number
 	/** A hold of the new slice's placer was answered, with a list of what runs. */
 	readonly hasNewHeld: boolean
 	/** The new slice's placer knows of the old run there. */
-	readonly isOldKnown: boolean
+	readonly isOldRunKnown: boolean
 	readonly newRuns: boolean
 	/** The executor has refused the placer of the slice that it is in. */
 	readonly isOwnRefused: boolean
 	/** Another slice was added later, and the executor went back. */
-	readonly isBack: boolean
+	readonly hasReturned: boolean
 }
 
 export interface SlicesGuards {
@@ -67,34 +67,34 @@
 const INITIAL: SlicesState = Object.freeze({
 	seenFence: 1,
 	oldFence: 1,
-	hasOldHeard: false,
-	flyingFence: 0,
+	hasOldPlacerHeard: false,
+	inFlightFence: 0,
 	oldRuns: false,
 	newFence: 0,
 	hasNewHeld: false,
-	isOldKnown: false,
+	isOldRunKnown: false,
 	newRuns: false,
 	isOwnRefused: false,
-	isBack: false,
+	hasReturned: false,
 })
 
 /** Of a slice that nobody has claimed before. */
-const firstFence = ({ownRange}: SlicesGuards) => (ownRange ? RANGE + 1 : 1)
+const firstFence = ({ownRange}: SlicesGuards) => (ownRange ? FENCE_RANGE + 1 : 1)
 
 function holdOld(state: SlicesState): SlicesState {
 	if (state.oldFence >= state.seenFence) return {...state, seenFence: state.oldFence}
-	return {...state, isOwnRefused: state.isBack}
+	return {...state, isOwnRefused: state.hasReturned}
 }
 
 function holdNew(state: SlicesState): SlicesState {
 	if (state.newFence < state.seenFence) return {...state, isOwnRefused: true}
-	return {...state, seenFence: state.newFence, hasNewHeld: true, isOldKnown: state.oldRuns}
+	return {...state, seenFence: state.newFence, hasNewHeld: true, isOldRunKnown: state.oldRuns}
 }
 
 function arrive(state: SlicesState): SlicesState {
-	const fence = state.flyingFence
-	if (fence < state.seenFence) return {...state, flyingFence: 0}
-	return {...state, flyingFence: 0, seenFence: fence, oldRuns: true}
+	const fence = state.inFlightFence
+	if (fence < state.seenFence) return {...state, inFlightFence: 0}
+	return {...state, inFlightFence: 0, seenFence: fence, oldRuns: true}
 }
 
 function next(state: SlicesState, {type}: SlicesEvent, guards: SlicesGuards): SlicesState {
@@ -102,47 +102,47 @@
 		case "slice added":
 			return {...state, newFence: firstFence(guards)}
 		case "old placer succeeded":
-			return {...state, oldFence: state.oldFence + 1, hasOldHeard: false}
+			return {...state, oldFence: state.oldFence + 1, hasOldPlacerHeard: false}
 		case "old placer hears":
-			return {...state, hasOldHeard: true}
+			return {...state, hasOldPlacerHeard: true}
 		case "old placer holds":
 			return holdOld(state)
 		case "old placer orders":
-			return {...state, flyingFence: state.oldFence}
+			return {...state, inFlightFence: state.oldFence}
 		case "order arrives":
 			return arrive(state)
 		case "old run ends":
-			return {...state, oldRuns: false, isOldKnown: false}
+			return {...state, oldRuns: false, isOldRunKnown: false}
 		case "new placer holds":
 			return holdNew(state)
 		case "new placer stops":
-			return {...state, oldRuns: false, isOldKnown: false}
+			return {...state, oldRuns: false, isOldRunKnown: false}
 		case "new placer starts":
 			return {...state, newRuns: true}
 		case "new run ends":
 			return {...state, newRuns: false}
 		case "executor goes back":
-			return {...state, isBack: true, hasOldHeard: false}
+			return {...state, hasReturned: true, hasOldPlacerHeard: false}
 	}
 }
 
 function enabled(state: SlicesState, guards: SlicesGuards): readonly SlicesEvent[] {
 	const isAdded = state.newFence > 0
-	const isOldAsking = !state.hasOldHeard
-	const mayUseRoom = state.hasNewHeld ? !state.isOldKnown : !guards.holdFirst
+	const isOldPlacerActive = !state.hasOldPlacerHeard
+	const mayUseRoom = state.hasNewHeld ? !state.isOldRunKnown : !guards.holdFirst
 	const rules: readonly (readonly [SlicesEvent["type"], boolean])[] = [
 		["slice added", !isAdded],
 		["old placer succeeded", state.oldFence <= MAX_SUCCESSIONS],
-		["old placer hears", isAdded && isOldAsking && !state.isBack],
-		["old placer holds", isOldAsking],
-		["old placer orders", isOldAsking && state.flyingFence === 0 && !state.oldRuns],
-		["order arrives", state.flyingFence > 0],
+		["old placer hears", isAdded && isOldPlacerActive && !state.hasReturned],
+		["old placer holds", isOldPlacerActive],
+		["old placer orders", isOldPlacerActive && state.inFlightFence === 0 && !state.oldRuns],
+		["order arrives", state.inFlightFence > 0],
 		["old run ends", state.oldRuns],
-		["new placer holds", isAdded && !state.isBack],
+		["new placer holds", isAdded && !state.hasReturned],
 		["new placer stops", state.hasNewHeld && state.oldRuns],
 		["new placer starts", isAdded && mayUseRoom && !state.newRuns],
 		["new run ends", state.newRuns],
-		["executor goes back", state.hasNewHeld && !state.isBack && !guards.onlyToNew],
+		["executor goes back", state.hasNewHeld && !state.hasReturned && !guards.onlyToNew],
 	]
 	return rules.filter(([, isEnabled]) => isEnabled).map(([type]) => ({type}))
 }
--- a/packages/spec/src/succession-protocol.ts
+++ b/packages/spec/src/succession-protocol.ts
@@ -9,7 +9,7 @@
 
 const LEASE_TICKS = 2
 const NOTICE_TICKS = 1
-const PRESUMED_TICKS = 4
+const ASSUMED_OVER_TICKS = 4
 
 export interface SuccessionState {
 	readonly isRunning: boolean
@@ -26,7 +26,7 @@
 	/** Nobody wants the run any more, and the successor knows it. */
 	readonly isUnwanted: boolean
 	/** Ticks since the caller's call broke; undefined while it stands. */
-	readonly brokenFor: number | undefined
+	readonly ticksSinceBreak: number | undefined
 	/** The caller was told that the run is over, or takes it as over. */
 	readonly isOver: boolean
 	/** The task runs again elsewhere. */
@@ -35,7 +35,7 @@
 
 export interface SuccessionGuards {
 	/** An executor that has not answered yet is under the longest lease of the placer before. */
-	readonly presumeLease: boolean
+	readonly assumeLongestLease: boolean
 	/** A run on an executor that the list lacks is watched as any other. */
 	readonly watchUnlisted: boolean
 	/** A lease is renewed only for runs that somebody wants here. */
@@ -43,7 +43,7 @@
 }
 
 export const ALL_SUCCESSION_GUARDS: SuccessionGuards = Object.freeze({
-	presumeLease: true,
+	assumeLongestLease: true,
 	watchUnlisted: true,
 	renewWantedOnly: true,
 })
@@ -70,7 +70,7 @@
 	isWatched: false,
 	isFenced: false,
 	isUnwanted: false,
-	brokenFor: undefined,
+	ticksSinceBreak: undefined,
 	isOver: false,
 	runsAgain: false,
 })
@@ -78,8 +78,8 @@
 const hasLease = ({oldLease, newLease}: SuccessionState) => oldLease > 0 || newLease > 0
 
 /** What the successor makes of an order that stays without an answer. */
-function missOrder(state: SuccessionState, guards: SuccessionGuards): SuccessionState {
-	const isLapsed = guards.presumeLease ? !hasLease(state) : state.newLease === 0
+function onOrderLost(state: SuccessionState, guards: SuccessionGuards): SuccessionState {
+	const isLapsed = guards.assumeLongestLease ? !hasLease(state) : state.newLease === 0
 	return state.isWatched && isLapsed ? {...state, isOver: true} : state
 }
 
@@ -90,12 +90,13 @@
 }
 
 function tick(state: SuccessionState): SuccessionState {
-	const {brokenFor} = state
+	const {ticksSinceBreak} = state
 	const aged = {
 		...state,
 		oldLease: Math.max(0, state.oldLease - 1),
 		newLease: Math.max(0, state.newLease - 1),
-		brokenFor: brokenFor === undefined ? undefined : Math.min(PRESUMED_TICKS, brokenFor + 1),
+		ticksSinceBreak:
+			ticksSinceBreak === undefined ? undefined : Math.min(ASSUMED_OVER_TICKS, ticksSinceBreak + 1),
 	}
 	return hasLease(aged) ? aged : {...aged, isRunning: false}
 }
@@ -112,13 +113,13 @@
 			if (!state.isListed && !guards.watchUnlisted) return {...state, isOver: true}
 			return {...state, isWatched: true}
 		case "order lost":
-			return missOrder(state, guards)
+			return onOrderLost(state, guards)
 		case "hold answered":
 			return renew(state, guards)
 		case "stop answered":
 			return {...state, isRunning: false}
 		case "call breaks":
-			return {...state, brokenFor: 0}
+			return {...state, ticksSinceBreak: 0}
 		case "break noticed":
 			return {...state, isUnwanted: true}
 		case "presumed over":
@@ -131,9 +132,9 @@
 }
 
 function enabled(state: SuccessionState): readonly SuccessionEvent[] {
-	const {isRunning, isListed, isWatched, isUnwanted, isOver, brokenFor} = state
-	const isBroken = brokenFor !== undefined
-	const mustNotice = isBroken && !isUnwanted && brokenFor >= NOTICE_TICKS
+	const {isRunning, isListed, isWatched, isUnwanted, isOver, ticksSinceBreak} = state
+	const isBroken = ticksSinceBreak !== undefined
+	const mustNotice = isBroken && !isUnwanted && ticksSinceBreak >= NOTICE_TICKS
 	const isCallOpen = !isBroken && !isOver
 	const rules: readonly (readonly [SuccessionEvent["type"], boolean])[] = [
 		["list drops executor", isListed && !isWatched],
@@ -143,7 +144,7 @@
 		["stop answered", isRunning && isUnwanted],
 		["call breaks", isCallOpen],
 		["break noticed", isBroken && !isUnwanted],
-		["presumed over", isBroken && !isOver && brokenFor >= PRESUMED_TICKS],
+		["presumed over", isBroken && !isOver && ticksSinceBreak >= ASSUMED_OVER_TICKS],
 		["run again", isOver && !state.runsAgain],
 		["tick", !mustNotice],
 	]
--- a/packages/spec/test/confirmation.test.ts
+++ b/packages/spec/test/confirmation.test.ts
@@ -59,15 +59,15 @@
 		boundByOldest: 11,
 		ageOfCall: 9,
 		ageOfConfirmation: 11,
-		lookBeforeStart: 11,
-		presumeLease: 12,
-		presumeAtFence: 12,
+		checkLeaseBeforeStart: 11,
+		assumeLongestLease: 12,
+		assumeLeaseFromFence: 12,
 		renewNoOrphans: 12,
-		keepCancelled: 13,
-		ownStream: 10,
+		cancelIsFinal: 13,
+		confirmOwnStreamOnly: 10,
 		absoluteEnd: 11,
-		breakIsSeen: 9,
-		comeBackLate: 8,
+		detectBreak: 9,
+		resubmitAfterBound: 8,
 		countSuspension: 11,
 	} as const
 	for (const guard of Object.keys(lengths) as (keyof typeof lengths)[])
@@ -80,19 +80,19 @@
 		confirmationProtocol({...rules, [guard]: false})
 	holds(confirmationProtocol(rules))
 	reaches(confirmationProtocol(rules), {
-		"its coordinator places it anew": ({runsAgain, brokenFor}) =>
-			runsAgain && brokenFor === undefined,
+		"its coordinator places it anew": ({runsAgain, ticksSinceBreak}) =>
+			runsAgain && ticksSinceBreak === undefined,
 	})
 	const lengths = {
 		boundByOldest: 10,
 		ageOfCall: 8,
 		ageOfConfirmation: 10,
-		lookBeforeStart: 10,
-		presumeLease: 11,
-		presumeAtFence: 11,
+		checkLeaseBeforeStart: 10,
+		assumeLongestLease: 11,
+		assumeLeaseFromFence: 11,
 		renewNoOrphans: 11,
-		ownStream: 9,
-		placeAnewLate: 7,
+		confirmOwnStreamOnly: 9,
+		rescheduleAfterBound: 7,
 	} as const
 	for (const guard of Object.keys(lengths) as (keyof typeof lengths)[])
 		breaks(guard, without(guard), lengths[guard])
@@ -105,11 +105,11 @@
 	reaches(handedOverProtocol(), {
 		[AGAIN]: ({runsAgain}) => runsAgain,
 		"its placer runs it again": ({ownRun}) => ownRun === "running",
-		[LONGER]: ({hostRun, callLeft}) => hostRun === "running" && callLeft === 0,
+		[LONGER]: ({hostRun, callBoundLeft}) => hostRun === "running" && callBoundLeft === 0,
 	})
 	const lengths = {
-		passCallers: 7,
-		passOwnCalls: 9,
+		forwardCallerConfirmation: 7,
+		forwardPerCall: 9,
 		ageOfCall: 7,
 		ageOfConfirmation: 12,
 		waitFromSent: 6,
--- a/packages/spec/test/protocols.test.ts
+++ b/packages/spec/test/protocols.test.ts
@@ -1,7 +1,7 @@
 import {
 	ALL_CONFIG_GUARDS,
 	ALL_FOLLOW_GUARDS,
-	ALL_GUARDS,
+	ALL_OWNER_GUARDS,
 	ALL_HANDOVER_GUARDS,
 	ALL_KEEPER_GUARDS,
 	ALL_PLACER_GUARDS,
@@ -49,13 +49,17 @@
 
 describe("specification of the owner's protocol", () => {
 	holds("with all guards", ownerProtocol())
-	breaks("without the seal", ownerProtocol({...ALL_GUARDS, seal: false}), TWICE)
-	breaks("without intent before start", ownerProtocol({...ALL_GUARDS, intentFirst: false}), TWICE)
-	breaks("without read-back", ownerProtocol({...ALL_GUARDS, readBack: false}), TWICE)
-	breaks("without inheriting intents", ownerProtocol({...ALL_GUARDS, inherit: false}), TWICE)
+	breaks("without the seal", ownerProtocol({...ALL_OWNER_GUARDS, seal: false}), TWICE)
+	breaks(
+		"without intent before start",
+		ownerProtocol({...ALL_OWNER_GUARDS, intentFirst: false}),
+		TWICE,
+	)
+	breaks("without read-back", ownerProtocol({...ALL_OWNER_GUARDS, readBack: false}), TWICE)
+	breaks("without inheriting intents", ownerProtocol({...ALL_OWNER_GUARDS, inherit: false}), TWICE)
 	breaks(
 		"with `not run` before its closing is durable",
-		ownerProtocol({...ALL_GUARDS, closeFirst: false}),
+		ownerProtocol({...ALL_OWNER_GUARDS, closeFirst: false}),
 		FALSE_REFUSAL,
 	)
 })
@@ -118,7 +122,7 @@
 describe("specification of a run that goes from one placer to the next", () => {
 	const twice = "a task ran twice at once"
 	holds("with all guards", successionProtocol())
-	for (const guard of ["presumeLease", "watchUnlisted", "renewWantedOnly"] as const)
+	for (const guard of ["assumeLongestLease", "watchUnlisted", "renewWantedOnly"] as const)
 		breaks(
 			`without ${guard}`,
 			successionProtocol({...ALL_SUCCESSION_GUARDS, [guard]: false}),
@@ -131,8 +135,12 @@
 		keeperProtocol({...ALL_KEEPER_GUARDS, [guard]: false})
 	holds("with all guards", keeperProtocol())
 	breaks("without recordFirst", without("recordFirst"), "an accepted job was lost")
-	breaks("without noteFirst", without("noteFirst"), "a task ran again after its end was noted")
-	breaks("without underClaim", without("underClaim"), "an accepted job belongs to nobody")
+	breaks(
+		"without recordEndFirst",
+		without("recordEndFirst"),
+		"a task ran again after its end was noted",
+	)
+	breaks("without writeUnderClaim", without("writeUnderClaim"), "an accepted job belongs to nobody")
 	breaks("without readAfterClaim", without("readAfterClaim"), "an accepted job belongs to nobody")
 	breaks("without holdFirst", without("holdFirst"), "a task ran twice at once")
 })
