--- a/packages/spec/src/config-protocol.ts
+++ b/packages/spec/src/config-protocol.ts
@@ -1,29 +1,29 @@
 /**
- * The configuration: two operators change it by compare-and-swap with lost answers; two instances
- * take versions from the store, from stale reads and from each other.
+ * Configuration changes: two operators write by compare-and-swap and may lose the answers; two
+ * instances learn versions from the store, from stale reads and from each other.
  */
 import type {Specification} from "./explore.js"
 
 export interface ConfigState {
-	/** Who wrote each accepted version, from version 1. */
+	/** The operator that wrote each accepted version, from version 1. */
 	readonly accepted: readonly number[]
-	/** The version that each operator read, and what came of its change. */
+	/** The version that each operator read, and the state of its change. */
 	readonly operators: readonly {
 		readonly read: number
 		readonly state: "idle" | "writing" | "in doubt" | "accepted" | "conflict"
 	}[]
 	/** The version in force at each instance. */
 	readonly inForce: readonly number[]
-	/** Whether an instance ever went back. */
+	/** Whether any instance ever replaced a version by an older one. */
 	readonly reverted: boolean
 }
 
 export interface ConfigGuards {
-	/** An instance takes only a newer version. */
+	/** An instance applies only a newer version. */
 	readonly versionCheck: boolean
-	/** The store takes a change only over the version that its operator read. */
+	/** The store accepts a change only if the current version is the one that the operator read. */
 	readonly compareAndSwap: boolean
-	/** An operator's lost answer is resolved by reading back who wrote the version. */
+	/** After a lost answer, the operator reads back who wrote the version. */
 	readonly readBack: boolean
 }
 
@@ -37,7 +37,7 @@
 	| {readonly type: "read"; readonly operator: number}
 	| {readonly type: "storeTakes"; readonly operator: number; readonly answers: boolean}
 	| {readonly type: "resolve"; readonly operator: number}
-	/** An instance learns a version: the newest, or an older one from a stale read or a peer. */
+	/** The version is the newest, or an older one from a stale read or a peer. */
 	| {readonly type: "learn"; readonly instance: number; readonly version: number}
 
 const MAX_VERSION = 3
--- a/packages/spec/src/confirmation-protocol.ts
+++ b/packages/spec/src/confirmation-protocol.ts
@@ -1,17 +1,14 @@
 /**
- * How long a run lives that nobody may want any more: its caller's coordinator confirms it, the placer bounds the
- * executor's lease by that confirmation, and the caller comes back only when the bound is past. A coordinator that has lost the
- * call's stream may place the job anew itself, once the bound is past since it told the placer of it last.
+ * Bounds the lifetime of a run that may no longer be wanted. The caller's coordinator confirms the call, the placer ends
+ * the executor's lease within a bound after the last confirmation, and the caller resubmits only after that bound. A
+ * coordinator that has lost the call's stream may reschedule the job once the bound has passed since its last confirmation.
  *
- * A coordinator confirms a call as of a moment of the placer's clock: the reading of a pulse, moved by the time that passed
- * at the coordinator until it had read all its connections. So a pulse that was late by some ticks makes the
- * confirmed moment older by as many. Ages are ticks of one real clock; differing rates are left to the margins of
- * the real rule.
+ * A confirmation names a time on the placer's clock: the time in a pulse, plus the time the coordinator then took to read
+ * its connections. A late pulse makes the confirmation older. Ages are ticks of one clock; clock drift is not modelled.
  *
- * Processes and messages may be late without bound: every step may be taken at any later tick, or never. Of several
- * messages of one kind under way the model has the latest, which allows the most. A neighbour runs on the same executor
- * all the time, and its own caller's confirmation is always fresh. A successor has the call as the first placer had it.
- * The executor alone keeps time: it ends a run within the tick in which the lease ends.
+ * Any process or message may be delayed without bound or lost. Of several messages of one kind in flight, the model keeps
+ * the latest, which permits the most. Another run on the same executor always has a fresh confirmation. A successor has the
+ * call as the first placer had it. Only the executor is on time: it ends a run within the tick in which the lease ends.
  */
 import {
 	ALL_CONFIRMATION_GUARDS,
@@ -23,11 +20,11 @@
 import type {Specification} from "./explore.js"
 
 const LEASE_TICKS = 2
-/** All runs on an executor end that long after their confirmation. */
+/** Every run ends this long after its last confirmation. */
 const BOUND_TICKS = 2
-/** A tick ends leases before anything else happens in it, so a caller that waits as long as the bound comes later. */
+/** Equal to the bound, because a tick ends leases before any other event in it. */
 const RESUBMIT_TICKS = BOUND_TICKS
-/** An age from which on a confirmation allows nothing. */
+/** A confirmation of this age permits nothing. */
 const STALE_TICKS = BOUND_TICKS
 
 type EventType = ConfirmationEvent["type"]
@@ -52,10 +49,10 @@
 
 const hasRun = ({run}: ConfirmationState) => run === "ordered" || run === "running"
 
-/** What the executor's lease may still be for the run's own sake. */
+/** Returns the longest lease, in ticks, that the run's own confirmation permits. */
 const leaseBound = ({confirmedAge}: ConfirmationState) => BOUND_TICKS - confirmedAge
 
-/** The longest lease that the placer may ask for now, for a neighbour's sake too. */
+/** Returns the longest lease, in ticks, that the placer may request now, for any run on the executor. */
 function allowedLease(state: ConfirmationState, guards: ConfirmationGuards): number {
 	if (state.isOrphan) return guards.renewNoOrphans ? 0 : LEASE_TICKS
 	if (!hasRun(state) || !guards.boundByOldest) return LEASE_TICKS
@@ -67,7 +64,7 @@
 	return !guards.checkLeaseBeforeStart || state.requestedLease <= leaseBound(state)
 }
 
-/** The coordinator has read all its connections, and the pulse that it goes by was late by some ticks. */
+/** The coordinator has read all its connections after a pulse that was `pulseTicks` late. */
 function readConnections(
 	state: ConfirmationState,
 	pulseTicks: number,
@@ -110,11 +107,11 @@
 
 function assumedLease({assumeLongestLease, assumeLeaseFromFence}: ConfirmationGuards): number {
 	if (!assumeLongestLease) return 0
-	// A successor that presumes as of its own beginning is at least a tick early.
+	// Counted from the successor's own start, the assumption is at least a tick early.
 	return assumeLeaseFromFence ? LEASE_TICKS : LEASE_TICKS - 1
 }
 
-/** The executor obeys no order of the placer before any more; what it lists is all that the successor knows. */
+/** The executor rejects the predecessor's orders from here on; the successor knows only the runs that it lists. */
 function takeOver(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
 	return {
 		...state,
@@ -148,7 +145,7 @@
 	}
 }
 
-/** A clock that stands still meanwhile takes all that the placer goes by for as fresh as before. */
+/** With a clock that stops during suspension, the placer's ages do not grow. */
 function tickSuspended(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
 	const later = tick(state, guards)
 	if (guards.countSuspension) return later
@@ -202,13 +199,13 @@
 	"tick while the placer is suspended": tickSuspended,
 }
 
-/** Whether the call's run has ended, or can never begin; each call has one. */
+/** Whether the call's only run has ended or can never start. */
 function isSettled({run, call, coordinator}: ConfirmationState): boolean {
 	if (run !== "none") return run === "ended"
 	return call === "cancelled" || (call === "unsent" && coordinator !== "wants it")
 }
 
-/** Leaves out what can no longer tell one future from another. */
+/** Resets fields that no longer affect later states, to keep the state space small. */
 function normalize(
 	state: ConfirmationState,
 	{absoluteEnd, placesAnew = false}: ConfirmationRules,
@@ -226,7 +223,7 @@
 	}
 }
 
-/** Whether a confirmation that is meant for others would be taken for the call's own. */
+/** Whether a confirmation of other calls would be applied to this call. */
 function isMisattributed(
 	{call, coordinator}: ConfirmationState,
 	{cancelIsFinal, confirmOwnStreamOnly}: ConfirmationGuards,
@@ -275,7 +272,7 @@
 	const mayReschedule =
 		guards.placesAnew && coordinator === "is gone" && reportedAge >= rescheduleTicks
 	const isUnwanted = call === "cancelled" || isOrphan
-	// Before the break it makes no difference: nobody comes back.
+	// Nobody resubmits before the break, so suspension matters only after it.
 	const isUnconfirmed =
 		(ticksSinceBreak !== undefined || coordinator === "is gone") && hasRun(state)
 	return [
@@ -306,6 +303,7 @@
 	return rules.filter(([, isEnabled]) => isEnabled).map(([type]) => ({type}))
 }
 
+/** Violated when the task runs on the executor and elsewhere at once. */
 export function confirmationProtocol(
 	guards: ConfirmationRules = ALL_CONFIRMATION_GUARDS,
 ): Specification<ConfirmationState, ConfirmationEvent> {
--- a/packages/spec/src/confirmation-state.ts
+++ b/packages/spec/src/confirmation-state.ts
@@ -1,79 +1,77 @@
-/**
- * What the specification of confirmed runs keeps in a state, the guards of the rule, and the events that may come.
- */
+/** State, guards and events of the specification in `confirmation-protocol.ts`. Ages and leases are in ticks. */
 
 type Coordinator =
-	/** It confirms the call whenever it has read its connections. */
+	/** The coordinator confirms the call whenever it has read its connections. */
 	| "wants it"
-	/** It has sent the cancel on the call's stream, and goes on confirming others there. */
+	/** The coordinator has sent the cancel on the call's stream, and still confirms other calls there. */
 	| "cancelled it"
-	/** It has lost the call's stream, or died; it, or its next life, confirms others on a new one. */
+	/** The coordinator has lost the call's stream, or restarted, and confirms other calls on a new stream. */
 	| "is gone"
 
 export interface ConfirmationState {
-	/** Ticks since the caller lost its connection or got an open answer; undefined while it waits. */
+	/** Ticks since the caller lost its connection or got an answer of unknown outcome; undefined while the caller waits. */
 	readonly ticksSinceBreak: number | undefined
 	readonly coordinator: Coordinator
-	/** Age of the latest moment as of which the coordinator knows that it wanted the call. */
+	/** Age of the latest moment at which the coordinator knows that the call was wanted. */
 	readonly coordinatorConfirmedAge: number
-	/** Age of the latest moment as of which the coordinator told that it wanted the call. */
+	/** Age of the latest such moment that the coordinator has sent to the placer. */
 	readonly reportedAge: number
 	readonly call: "unsent" | "under way" | "read" | "cancelled"
-	/** Age of the moment that the placer takes for the call's confirmation, or that the call under way tells. */
+	/** Age of the call's confirmation at the placer, or in the call message in flight. */
 	readonly confirmedAge: number
-	/** Age of the moment that the confirmation under way tells; undefined when none is. */
+	/** Age of the confirmation in flight; undefined without one. */
 	readonly confirmation: number | undefined
 	readonly run: "none" | "ordered" | "running" | "ended"
-	/** Ticks that are left of the lease that the start itself asked for. */
+	/** Remaining ticks of the lease that the start order requested. */
 	readonly startLease: number
-	/** Ticks that are left of the lease at the executor. */
+	/** Remaining ticks of the executor's lease. */
 	readonly lease: number
-	/** Ticks that are left of the lease that an order under way asks for; undefined when none is. */
+	/** Remaining ticks of the lease that the order in flight requests; undefined without one. */
 	readonly order: number | undefined
-	/** Ticks that are left, as the placer has it, of the longest lease asked for. */
+	/** Remaining ticks, by the placer's account, of the longest lease requested. */
 	readonly requestedLease: number
-	/** Whether the executor obeys a successor of the first placer. */
+	/** The executor has accepted the fence of the first placer's successor. */
 	readonly hasSuccessor: boolean
-	/** The run is there, and the placer knows nothing of it. */
+	/** The executor has the run, and the placer does not know of it. */
 	readonly isOrphan: boolean
-	/** The caller has come back, or its coordinator has placed the job anew, and the task runs elsewhere. */
+	/** The task runs elsewhere: the caller has resubmitted the job, or the coordinator has rescheduled it. */
 	readonly runsAgain: boolean
 }
 
 export interface ConfirmationGuards {
-	/** A lease ends by the bound of each run on the executor, whoever it is renewed for. */
+	/** The executor's lease ends by the earliest bound among its runs. */
 	readonly boundByOldest: boolean
-	/** A call that arrives is as old as what it tells. */
+	/** A call that arrives counts from the age it carries, not from its arrival. */
 	readonly ageOfCall: boolean
-	/** A confirmation that arrives is as old as what it tells. */
+	/** A confirmation that arrives counts from the age it carries, not from its arrival. */
 	readonly ageOfConfirmation: boolean
-	/** A start is ordered only where the lease asked for already ends by the run's bound. */
+	/** A start is ordered only where the lease already requested ends by the run's bound. */
 	readonly checkLeaseBeforeStart: boolean
-	/** A successor takes it that the placer before has asked for the longest lease. */
+	/** A successor assumes that its predecessor has requested the longest lease. */
 	readonly assumeLongestLease: boolean
-	/** It takes that as of when the executor obeyed it, since the placer before may have asked until then. */
+	/** The assumed lease begins when the executor accepts the new fence: the predecessor may renew until then. */
 	readonly assumeLeaseFromFence: boolean
-	/** Nothing is renewed while a run is there of which nothing is known. */
+	/** No lease is renewed on an executor with an unknown run. */
 	readonly renewNoOrphans: boolean
-	/** What is confirmed after a call's cancel does not confirm that call. */
+	/** A confirmation sent after a call's cancel does not confirm that call. */
 	readonly cancelIsFinal: boolean
-	/** What is confirmed on one stream does not confirm calls of another. */
+	/** A confirmation on one stream does not confirm calls of another. */
 	readonly confirmOwnStreamOnly: boolean
-	/** An order tells the end of the lease, not its length. */
+	/** An order carries the end of the lease, not its length. */
 	readonly absoluteEnd: boolean
-	/** A coordinator that reads a connection finds the break of it. */
+	/** A coordinator that reads a broken connection detects the break. */
 	readonly detectBreak: boolean
-	/** A caller comes back no earlier than the bound is past. */
+	/** A caller resubmits only after the bound has passed. */
 	readonly resubmitAfterBound: boolean
-	/** A coordinator that lost its stream places a job anew no earlier than the bound is past since it told of it last. */
+	/** A coordinator that lost its stream reschedules a job only once the bound has passed since its last confirmation. */
 	readonly rescheduleAfterBound: boolean
-	/** The placer's clock goes on while its machine is suspended. */
+	/** The placer's clock counts time while its machine is suspended. */
 	readonly countSuspension: boolean
 }
 
-/** What is specified: the guards that hold, and what operators have switched on. */
+/** The guards in force, and the features that operators have enabled. */
 export interface ConfirmationRules extends ConfirmationGuards {
-	/** Coordinators place anew what they have lost; off by default. */
+	/** Coordinators reschedule lost jobs; off by default. */
 	readonly placesAnew?: boolean
 }
 
--- a/packages/spec/src/exchange-protocol.ts
+++ b/packages/spec/src/exchange-protocol.ts
@@ -1,19 +1,19 @@
 /**
- * The exchange with an endpoint: two attempts wait for answers that come late, twice, or on the
- * other's connection.
+ * Request and answer between the dispatcher and an endpoint: two attempts wait for answers that may come
+ * late, twice, or on the other attempt's connection.
  */
 import type {Specification} from "./explore.js"
 
 export interface ExchangeState {
-	/** Which attempt's answer each waiting attempt took; -1 while it waits. */
+	/** Index of the attempt whose answer each attempt accepted; -1 while an attempt waits. */
 	readonly taken: readonly number[]
-	/** Answers on their way: whose they are and where they arrive. */
+	/** Answers in flight: the attempt they belong to, and the attempt at which they arrive. */
 	readonly answers: readonly {readonly of: number; readonly at: number}[]
 	readonly ran: readonly boolean[]
 }
 
 export interface ExchangeGuards {
-	/** An answer counts only for the attempt whose id it carries. */
+	/** An answer is accepted only by the attempt whose id it carries. */
 	readonly attemptId: boolean
 }
 
--- a/packages/spec/src/explore.ts
+++ b/packages/spec/src/explore.ts
@@ -1,5 +1,6 @@
 /**
- * The exhaustive walk over a specification: every state that any order of events can reach.
+ * Exhaustive state-space search over a specification: every state that any order of events can reach.
+ * The tests of the specifications use it, and tests that replay its traces against real code.
  */
 import {getAdjacencyMap, getShortestPaths} from "@xstate/graph"
 import {fromTransition} from "xstate"
@@ -9,13 +10,13 @@
 	readonly initial: State
 	readonly next: (state: State, event: Event) => State
 	readonly enabled: (state: State) => readonly Event[]
-	/** Says what a state breaks; undefined for a good state. */
+	/** Names the violated invariant; undefined for a valid state. */
 	readonly violation: (state: State) => string | undefined
 }
 
 export interface Exploration<Event> {
 	readonly states: number
-	/** A shortest row of events to a state that breaks the invariant. */
+	/** A shortest sequence of events to a state that violates the invariant. */
 	readonly violation?: {readonly what: string; readonly events: readonly Event[]}
 }
 
@@ -47,7 +48,7 @@
 	}
 }
 
-/** Walks all states; stops at nothing but the limit, which is an error. */
+/** Visits all reachable states; throws when there are more than STATE_LIMIT. */
 export function explore<State, Event extends {readonly type: string}>(
 	spec: Specification<State, Event>,
 ): Exploration<Event> {
@@ -62,7 +63,7 @@
 	return {states: states.length, violation: tracesTo(spec, state => spec.violation(state))[0]!}
 }
 
-/** Returns shortest rows of events to all states for which `wanted` says what they show. */
+/** Returns a shortest sequence of events to each state for which `describe` returns a text. */
 export function tracesTo<State, Event extends {readonly type: string}>(
 	spec: Specification<State, Event>,
 	describe: (state: State) => string | undefined,
--- a/packages/spec/src/follow-protocol.ts
+++ b/packages/spec/src/follow-protocol.ts
@@ -1,10 +1,10 @@
 /**
- * Following a prefix of the store: a listing of two pages that are no snapshot, watches that tell several changes in one
- * answer, and a peer that names a newer revision meanwhile.
+ * A reader's copy of a key prefix in the store: a listing of two pages that form no snapshot, watch answers that hold
+ * several changes, and a peer that reports a newer revision meanwhile.
  */
 import type {Specification} from "./explore.js"
 
-/** Keys by name, with the revision of their last write; absent keys are not there. */
+/** Revision of the last write, by key; absent keys have no entry. */
 type Keys = Readonly<Record<string, number>>
 
 interface Change {
@@ -16,23 +16,23 @@
 export interface FollowState {
 	readonly changes: readonly Change[]
 	readonly phase: "before the first page" | "before the second page" | "following"
-	/** What the reader takes for the store's content. */
+	/** The reader's copy of the store's content. */
 	readonly known: Keys
-	/** What the reader asks to hear the changes after. */
+	/** The revision after which the reader watches for changes. */
 	readonly revision: number
-	/** The newest revision that a peer has named. */
+	/** The newest revision that a peer has reported. */
 	readonly peerRevision: number
 	readonly isRefreshDue: boolean
 }
 
 export interface FollowGuards {
-	/** Changes are asked for from the first page on. */
+	/** The watch begins at the revision of the first page. */
 	readonly firstPage: boolean
-	/** Of several writes in an answer the last counts. */
+	/** The last of several writes in an answer wins. */
 	readonly lastWrite: boolean
-	/** A key that an answer writes and removes goes by what came last. */
+	/** The later of a write and a removal in an answer wins. */
 	readonly lastChange: boolean
-	/** A refresh that is asked for during a listing lists again. */
+	/** A refresh requested during a listing triggers another listing. */
 	readonly keepRefresh: boolean
 }
 
@@ -82,7 +82,7 @@
 	return {...state, changes: [...state.changes, {revision, key, type}]}
 }
 
-/** A page's answer: the keys on it as they are now. */
+/** Copies one page as the store has it now. */
 function applyPage(state: FollowState, key: string): Keys {
 	const found = contentOf(state)[key]
 	return found === undefined ? withoutKey(state.known, key) : {...state.known, [key]: found}
@@ -99,7 +99,6 @@
 	return {...state, phase: "following", known, revision}
 }
 
-/** What a reader makes of one answer. */
 function applyAnswer(keys: Keys, told: readonly Change[], guards: FollowGuards): Keys {
 	const writes = told.filter(({type}) => type === "write")
 	const removals = told.filter(({type}) => type === "removal")
@@ -158,11 +157,11 @@
 
 function violation(state: FollowState): string | undefined {
 	if (state.phase !== "following" || state.isRefreshDue) return undefined
-	// A watch may lie on a connection that says nothing more, so what a peer names must not wait for it.
-	if (state.peerRevision > state.revision) return "what a peer named was forgotten"
+	// The watch's connection may be silently dead, so a revision that a peer reports must not wait for it.
+	if (state.peerRevision > state.revision) return "a revision that a peer reported was forgotten"
 	if (state.revision < revisionOf(state)) return undefined
 	const isSame = KEYS.every(key => state.known[key] === contentOf(state)[key])
-	return isSame ? undefined : "a reader that heard everything knows something else"
+	return isSame ? undefined : "an up-to-date reader differs from the store"
 }
 
 export function followProtocol(
--- a/packages/spec/src/handed-over-protocol.ts
+++ b/packages/spec/src/handed-over-protocol.ts
@@ -1,63 +1,62 @@
 /**
- * A task that a placer hands to a host, the placer of another domain: the placer passes on the confirmation that it has
- * of the caller's coordinator, gives the host up when it gets no answer, and then runs the task itself, while the
- * caller may come back as well.
+ * A task that a placer hands over to a host, the placer of another failure domain. The placer forwards the confirmations of
+ * the caller's coordinator, gives up on a host that does not answer, and then runs the task itself; the caller may resubmit.
  *
- * That a placer's runs end by the bound after what it was told is `confirmation-protocol.ts`; here a run simply does. Ages
- * are ticks of one real clock, told and judged as there. Processes and messages may be late without bound; of
- * several confirmations under way the model has the latest, which allows the most.
+ * `confirmation-protocol.ts` specifies that a run ends within the bound after its last confirmation; this model assumes it.
+ * Ages are ticks of one clock. Any process or message may be delayed without bound. Of several confirmations in flight, the
+ * model keeps the latest, which permits the most.
  */
 import type {Specification} from "./explore.js"
 
-/** A run ends that long after its confirmation. */
+/** A run ends this long after its last confirmation. */
 const BOUND_TICKS = 2
-/** A tick ends runs before anything else happens in it, so a caller that waits as long as the bound comes later. */
+/** Equal to the bound, because a tick ends runs before any other event in it. */
 const RESUBMIT_TICKS = BOUND_TICKS
-/** A sum that is too small for what it stands for. */
+/** The wait for the host without `waitFromSent`: shorter than the bound. */
 const SHORT_WAIT_TICKS = 1
-/** An age from which on a confirmation allows nothing. */
+/** A confirmation of this age permits nothing. */
 const STALE_TICKS = BOUND_TICKS
 
 type Run = "none" | "running" | "ended"
 
 export interface HandedOverState {
-	/** Ticks since the caller lost its connection; undefined while it waits. */
+	/** Ticks since the caller lost its connection; undefined while the caller waits. */
 	readonly ticksSinceBreak: number | undefined
-	/** A coordinator that has given the call up confirms it no more. */
+	/** The coordinator confirms the call no more. */
 	readonly hasCoordinatorGivenUp: boolean
-	/** Age of the latest moment as of which the coordinator knows that it wanted the call. */
+	/** Age of the latest moment at which the coordinator knows that the call was wanted. */
 	readonly coordinatorConfirmedAge: number
-	/** The placer wants the task no more: it has read the cancel, or has answered with the end left open. */
+	/** The placer has read the cancel, or has answered that the outcome is unknown. */
 	readonly isUnwanted: boolean
-	/** Age of the moment that the placer takes for the caller's confirmation. */
+	/** Age of the caller's confirmation at the placer. */
 	readonly placerConfirmedAge: number
 	readonly call: "unsent" | "under way" | "read"
-	/** Age of the moment that the host takes for the confirmation, or that the call under way tells. */
+	/** Age of the confirmation at the host, or in the call message in flight. */
 	readonly hostConfirmedAge: number
-	/** Ticks that are left of the bound that the call alone gave. */
+	/** Remaining ticks of the bound that the call itself gave. */
 	readonly callBoundLeft: number
-	/** Age of the moment that the confirmation to the host tells; undefined when none is under way. */
+	/** Age of the confirmation in flight to the host; undefined without one. */
 	readonly confirmation: number | undefined
-	/** Ticks since the placer sent the host anything that confirms the task. */
+	/** Ticks since the placer last sent the host a confirmation of the task. */
 	readonly ticksSinceSent: number
-	/** Ticks since the placer gave the host up; undefined while it waits for its answer. */
+	/** Ticks since the placer gave up on the host; undefined while the placer waits. */
 	readonly ticksSinceGivenUp: number | undefined
 	readonly hostRun: Run
 	readonly ownRun: Run
-	/** The caller has come back, and the task runs at a third placer. */
+	/** The caller has resubmitted the job, and the task runs at a third placer. */
 	readonly runsAgain: boolean
 }
 
 export interface HandedOverGuards {
-	/** What a placer passes on is the caller's confirmation, not its own wish. */
+	/** The placer forwards the age of the caller's confirmation, not a fresh one of its own. */
 	readonly forwardCallerConfirmation: boolean
-	/** What is passed on is the confirmation of that call, not of the stream that it came on. */
+	/** The placer forwards the confirmation of that call, not of other calls on its stream. */
 	readonly forwardPerCall: boolean
-	/** A call that arrives at the host is as old as what it tells. */
+	/** A call that arrives at the host counts from the age it carries. */
 	readonly ageOfCall: boolean
-	/** A confirmation that arrives at the host is as old as what it tells. */
+	/** A confirmation that arrives at the host counts from the age it carries. */
 	readonly ageOfConfirmation: boolean
-	/** A host that was given up has had no confirmation for the bound before the task runs again. */
+	/** After giving up on the host, the placer runs the task only once the bound has passed since it last sent a confirmation. */
 	readonly waitFromSent: boolean
 }
 
@@ -108,7 +107,7 @@
 	runsAgain: false,
 })
 
-/** What the placer tells the host of the caller. Others on the caller's stream are confirmed all the time. */
+/** Returns the age that the placer forwards to the host. Other calls on the caller's stream are always freshly confirmed. */
 function forwardedAge(
 	state: HandedOverState,
 	{forwardCallerConfirmation, forwardPerCall}: HandedOverGuards,
@@ -117,7 +116,7 @@
 	return forwardCallerConfirmation && !isOthers ? state.placerConfirmedAge : 0
 }
 
-/** The coordinator answers its caller in the same moment, which is the earliest. */
+/** The coordinator answers its caller at once, the earliest possible moment. */
 function answerOpen(state: HandedOverState): HandedOverState {
 	const ticksSinceBreak = state.ticksSinceBreak ?? 0
 	return {...state, ticksSinceBreak, hasCoordinatorGivenUp: true, isUnwanted: true}
@@ -219,7 +218,7 @@
 	}
 }
 
-/** Whether the placer takes the host's run as ended, by its answer or by the time that has passed. */
+/** Whether the placer considers the host's run ended, by the host's answer or by elapsed time. */
 function isHostRunOver(state: HandedOverState, guards: HandedOverGuards): boolean {
 	if (state.hostRun === "ended") return true
 	if (state.ticksSinceGivenUp === undefined) return false
@@ -267,7 +266,6 @@
 	return rules.filter(([, isEnabled]) => isEnabled).map(([type]) => ({type}))
 }
 
-/** Says which two runs of the task there are at once. */
 function violation({hostRun, ownRun, runsAgain}: HandedOverState): string | undefined {
 	const running = [hostRun === "running", ownRun === "running", runsAgain].filter(Boolean)
 	return running.length > 1 ? "a task ran twice at once" : undefined
--- a/packages/spec/src/handover-protocol.ts
+++ b/packages/spec/src/handover-protocol.ts
@@ -1,19 +1,19 @@
 /**
- * The hand-over of a shard between two running sessions: `a` gives it up by one write of the
- * ownership map; `b` reads `a`'s journal after it sees the write, and serves. The store may take
- * the map's write late or lose its answer.
+ * The handover of a shard between two running sessions: `a` releases it by one write to the ownership
+ * map; `b` sees the write, reads `a`'s journal and serves. The store may apply the write late or lose
+ * its answer.
  */
 import type {Specification} from "./explore.js"
 
 export interface HandoverState {
 	readonly aServes: boolean
 	readonly bServes: boolean
-	/** An intent that `a` has accepted and not yet made durable. */
+	/** `a` has accepted an intent that is not yet durable. */
 	readonly aPending: boolean
 	readonly aDurable: boolean
-	/** How far `a`'s release is. */
+	/** Progress of `a`'s release. */
 	readonly release: "none" | "flushing" | "writing" | "in doubt" | "done"
-	/** The map's write, on its way to the store. */
+	/** The map write is in flight to the store. */
 	readonly message: boolean
 	readonly mapOwner: "a" | "b"
 	readonly bHasIntent: boolean
@@ -25,7 +25,7 @@
 export interface HandoverGuards {
 	/** `a` waits for its pending intents before it writes the map. */
 	readonly flush: boolean
-	/** `a` repeats a map write without an answer until its fate is definite. */
+	/** `a` repeats an unanswered map write until its outcome is known. */
 	readonly definite: boolean
 }
 
@@ -72,7 +72,7 @@
 		case "answer is lost":
 			return {...state, release: "in doubt"}
 		case "a decides": {
-			// Without the guard the write counts as failed, and `a` serves on.
+			// Without the guard, an unanswered write counts as failed, and `a` keeps serving.
 			const isHandedOver = guards.definite || state.mapOwner === "b"
 			return {...state, release: "done", aServes: !isHandedOver}
 		}
@@ -94,7 +94,7 @@
 	if (state.release === "flushing" && (!guards.flush || !state.aPending)) events.push("write map")
 	if (state.message) events.push("store takes")
 	if (state.release === "writing") events.push("answer is lost")
-	// With the guard `a` decides only once the write has taken effect.
+	// With the guard, `a` decides only once the write has taken effect.
 	const isDefinite = state.mapOwner === "b"
 	if (state.release === "writing" && isDefinite) events.push("a decides")
 	if (state.release === "in doubt" && (isDefinite || !guards.definite)) events.push("a decides")
--- a/packages/spec/src/index.ts
+++ b/packages/spec/src/index.ts
@@ -1,6 +1,4 @@
-/**
- * The specifications of the core protocol, and the walk that checks them.
- */
+/** Executable specifications of the dispatcher's protocols, and the exhaustive search that checks them. */
 export * from "./explore.js"
 export * from "./owner-protocol.js"
 export * from "./handover-protocol.js"
--- a/packages/spec/src/keeper-protocol.ts
+++ b/packages/spec/src/keeper-protocol.ts
@@ -1,42 +1,42 @@
 /**
- * How a kept job outlasts its placer: one job of one task, the placer that accepts it, a successor, and an
- * executor that lists ends until it may forget them. Writes to the store may arrive late.
+ * Recovery of a kept job after its placer fails: one job of one task, the placer that accepts it, a successor, and
+ * an executor that lists ended runs until it may forget them. Writes to the store may arrive late.
  */
 import type {Specification} from "./explore.js"
 
 export interface KeeperState {
-	/** What the store holds of the job. */
+	/** The job's record in the store. */
 	readonly record: "absent" | "open" | "done"
-	/** Whose claim the store holds. */
+	/** The holder of the claim in the store. */
 	readonly claim: "first" | "successor"
-	/** Writes of the first placer, on their way. */
+	/** The first placer's writes in flight. */
 	readonly isCreateInFlight: boolean
 	readonly isEndWriteInFlight: boolean
 	readonly wasCreateSent: boolean
 	readonly isAccepted: boolean
 	readonly isFirstDead: boolean
-	/** The run on the executor. */
+	/** The run, as the executor has it. */
 	readonly run: "unsent" | "running" | "listed as done" | "forgotten"
 	readonly hasSuccessorFenced: boolean
-	/** What the successor read in the store; undefined before. */
+	/** The record as the successor read it; undefined before the read. */
 	readonly readRecord: "absent" | "open" | "done" | undefined
-	/** The successor knows the run, or its end, from the executor. */
+	/** The executor has listed the run, or its end, to the successor. */
 	readonly isRunKnown: boolean
-	/** The task runs a second time, started by the successor. */
+	/** The successor has started the task a second time. */
 	readonly secondRuns: boolean
 	readonly wasEndedBefore: boolean
 }
 
 export interface KeeperGuards {
-	/** A submitter is told that its job is kept only once the record stands. */
+	/** A submitter is told that its job is kept only once the record is in the store. */
 	readonly recordFirst: boolean
-	/** An executor may forget an end only once the store has it. */
+	/** An executor may forget an ended run only once the store has its end. */
 	readonly recordEndFirst: boolean
-	/** All writes hold only under the writer's claim. */
+	/** A write takes effect only while the writer holds the claim. */
 	readonly writeUnderClaim: boolean
-	/** The successor reads the store only once it has the claim. */
+	/** The successor reads the store only once it holds the claim. */
 	readonly readAfterClaim: boolean
-	/** The successor starts nothing before it knows what the executor runs and lists. */
+	/** The successor starts nothing before the executor has listed its runs. */
 	readonly holdFirst: boolean
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-/** The successor starts what it read as open and did not find on the executor. */
+/** The successor starts a job that it read as open and that the executor did not list. */
 function mayStartAgain(state: KeeperState, {holdFirst}: KeeperGuards): boolean {
 	const hasRead = state.claim === "successor" && state.readRecord === "open"
 	const hasListedRuns = state.hasSuccessorFenced || !holdFirst
--- a/packages/spec/src/owner-protocol.ts
+++ b/packages/spec/src/owner-protocol.ts
@@ -1,8 +1,7 @@
 /**
- * The owner's protocol for one key: session `a` owns the shard; session `b` takes over when `a`'s
- * lease lapses, which may happen while `a` still runs. The store takes a write once, late, or not
- * at all, and loses answers. A pause needs no event of its own: a session that takes no step is
- * paused. Names follow the core: journal, seal, intent, closed, inherited.
+ * Shard ownership for one key: session `a` owns the shard; session `b` takes over when `a`'s lease
+ * expires, which may happen while `a` still runs. The store applies a write once, late, or not at
+ * all, and may lose its answer. A session that takes no step is paused.
  */
 import type {Specification} from "./explore.js"
 
@@ -15,23 +14,23 @@
 	readonly alive: boolean
 	readonly owns: boolean
 	readonly entry: Entry
-	/** The record whose write has no definite answer yet. */
+	/** The record whose write is unconfirmed. */
 	readonly writing: RecordType | "none"
-	/** Its message on the way to the store. */
+	/** The write is in flight to the store. */
 	readonly message: boolean
-	/** The answer on the way back. */
+	/** The store's answer in flight. */
 	readonly answer: "none" | "created" | "own" | "sealed"
-	/** Copies of the submission that wait here. */
+	/** Copies of the submission that wait at this session. */
 	readonly waiting: readonly number[]
 }
 
 export interface OwnerState {
 	readonly a: SessionState
 	readonly b: SessionState
-	/** The values of each session's journal, in order. */
+	/** Each session's journal, in order. */
 	readonly journalA: readonly JournalValue[]
 	readonly journalB: readonly JournalValue[]
-	/** How far the successor's takeover is; a number is the length that it listed. */
+	/** Progress of the successor's takeover; a number is the journal length that the successor listed. */
 	readonly takeover: "idle" | "sealed" | "done" | number
 	/** Where each copy of the submission is. */
 	readonly copies: readonly ("caller" | Session | "held" | "not run" | "unknown" | "value")[]
@@ -39,15 +38,15 @@
 }
 
 export interface OwnerGuards {
-	/** The successor seals the journal before it serves. */
+	/** The successor seals the journal before serving. */
 	readonly seal: boolean
 	/** Work starts only after its intent is durable. */
 	readonly intentFirst: boolean
-	/** A write without an answer is asked again, never taken as done. */
+	/** A write without an answer is repeated, never assumed to have succeeded. */
 	readonly readBack: boolean
-	/** A `not run` is answered only after the closing is durable. */
+	/** `not run` is answered only after the `closed` record is durable. */
 	readonly closeFirst: boolean
-	/** What the sealed journal lists is not started again. */
+	/** Work in the sealed journal is not started again. */
 	readonly inherit: boolean
 }
 
@@ -108,7 +107,6 @@
 	return {...state, copies: state.copies.map((old, i) => (copies.includes(i) ? where : old))}
 }
 
-/** Answers all copies that wait at a session. */
 function answerAll(state: OwnerState, session: Session, answer: "not run" | "unknown" | "value") {
 	const answered = withCopies(state, state[session].waiting, answer)
 	return withSession(answered, session, {waiting: []})
@@ -166,7 +164,7 @@
 	return session === "a" ? state.journalA : state.journalB
 }
 
-/** One key has at most one record of a kind per session, so the record itself is the nonce. */
+/** One key has at most one record of a type per session, so the record itself identifies the write. */
 function storeTakes(state: OwnerState, session: Session, answers: boolean): OwnerState {
 	const journal = journalOf(state, session)
 	const record = state[session].writing as RecordType
@@ -189,7 +187,7 @@
 	}
 	if (side.entry !== "pending") return settled
 	if (side.waiting.length > 0) return start(settled, session)
-	// Nobody waits any more: the intent stands in the journal, and the work waits for a copy.
+	// No copy waits: the intent stays in the journal, and the work starts with the next copy.
 	return withSession(settled, session, {entry: "parked"})
 }
 
@@ -291,7 +289,7 @@
 	return undefined
 }
 
-/** The specification with some guards off, so that the checker can be seen to fail. */
+/** Violated by a second start, or by a start after `not run` was answered. */
 export function ownerProtocol(
 	guards: OwnerGuards = ALL_OWNER_GUARDS,
 ): Specification<OwnerState, OwnerEvent> {
--- a/packages/spec/src/placer-protocol.ts
+++ b/packages/spec/src/placer-protocol.ts
@@ -1,6 +1,6 @@
 /**
- * Who may run a task on leased executors: one task, a placer and its successor, an executor whose
- * answers and orders are delayed, and a second executor on which the task may be run again.
+ * Placing a task on leased executors: one task, a placer and its successor, an executor with delayed
+ * orders and answers, and a second executor on which the task may run again.
  *
  * Time is abstract: a lease may end once nobody can renew it, and an order may arrive at any time after
  * it was sent.
@@ -9,41 +9,41 @@
 
 type Belief =
 	| "unsent"
-	/** Sent, no answer yet. */
+	/** Sent; the answer is outstanding. */
 	| "sent"
-	/** The answer is missed: it may run, or may start later. */
+	/** The answer is overdue: the task may run, or may start later. */
 	| "silent"
-	/** It certainly runs no more, and will not start. */
+	/** The task does not run and will not start. */
 	| "settled"
 
 export interface PlacerState {
-	/** The start order of the first run, on its way. */
+	/** The start order of the first run is in flight. */
 	readonly isOrderInFlight: boolean
-	/** The first run is there. */
+	/** The first run is active on the first executor. */
 	readonly firstRuns: boolean
-	/** The executor was told to stop the first run, whether it was there or not. */
+	/** The executor was told to stop the first run, started or not. */
 	readonly wasStopped: boolean
 	/** The highest fence that the first executor has seen. */
 	readonly seenFence: 1 | 2
 	readonly hasLeaseEnded: boolean
-	/** The first placer and the first executor are cut off from each other. */
+	/** The first placer and the first executor cannot reach each other. */
 	readonly isPartitioned: boolean
 	readonly isFirstPlacerDead: boolean
 	readonly hasSuccessorFenced: boolean
 	readonly belief: Belief
-	/** The task runs again elsewhere. */
+	/** The task runs on the second executor. */
 	readonly secondRuns: boolean
 	readonly wasRunAgain: boolean
 }
 
 export interface PlacerGuards {
-	/** An executor obeys no fence lower than the highest that it has seen. */
+	/** An executor rejects fences below the highest that it has seen. */
 	readonly fence: boolean
-	/** A start says until when it holds, and is refused after that. */
+	/** A start order carries a deadline, after which it is refused. */
 	readonly deadline: boolean
-	/** A start without an answer is run again elsewhere only once it is settled. */
+	/** A task with an unanswered start runs again elsewhere only once that start is settled. */
 	readonly settle: boolean
-	/** A successor stops what it finds running before it places. */
+	/** A successor stops the runs that it finds before placing. */
 	readonly stopOrphans: boolean
 }
 
@@ -122,7 +122,7 @@
 	}
 }
 
-/** The first placer may run it again, or after it the successor. */
+/** Whether the first placer, or its successor, may run the task again. */
 function mayRunAgain(state: PlacerState, guards: PlacerGuards): boolean {
 	if (state.wasRunAgain || state.belief === "unsent") return false
 	if (state.isFirstPlacerDead) return state.hasSuccessorFenced || state.hasLeaseEnded
--- a/packages/spec/src/slices-protocol.ts
+++ b/packages/spec/src/slices-protocol.ts
@@ -1,44 +1,44 @@
 /**
- * One more slice of a failure domain: an executor goes from the placer that has it, or from a successor of that one, to the new
- * slice's placer. The executor has room for one run, obeys any fence that is not below the highest that it has seen, and orders
- * may arrive at any time after they were sent. The placer before may hear of the new slice late or never.
+ * Adding a slice to a failure domain: an executor passes from its placer, or from a successor of that placer, to the new
+ * slice's placer. The executor has room for one run and accepts any fence not below the highest that it has seen. Orders may
+ * arrive at any time after they were sent. The old placer may learn of the new slice late or never.
  */
 import type {Specification} from "./explore.js"
 
-/** Fences of the new slice begin here, where they have a range of their own. */
+/** The new slice's fences lie above this where each slice has its own range. */
 const FENCE_RANGE = 10
-/** Successors of the placer before, none of which needs to know of the new slice. */
+/** Maximum number of successors of the old placer; none need know of the new slice. */
 const MAX_SUCCESSIONS = 2
 
 export interface SlicesState {
 	/** The highest fence that the executor has seen. */
 	readonly seenFence: number
-	/** Of the slice that has had the executor so far. */
+	/** Fence of the old slice. */
 	readonly oldFence: number
-	/** Its placer has heard of the new slice, and gives the executor up. */
+	/** The old placer has learnt of the new slice and releases the executor. */
 	readonly hasOldPlacerHeard: boolean
-	/** The fence of its start order on the way; 0 without one. */
+	/** Fence of the old placer's start order in flight; 0 without one. */
 	readonly inFlightFence: number
 	readonly oldRuns: boolean
-	/** Of the new slice; 0 before it is claimed. */
+	/** Fence of the new slice; 0 before the slice is claimed. */
 	readonly newFence: number
-	/** A hold of the new slice's placer was answered, with a list of what runs. */
+	/** The executor has answered a hold of the new placer with its list of runs. */
 	readonly hasNewHeld: boolean
-	/** The new slice's placer knows of the old run there. */
+	/** The new placer knows of the old run. */
 	readonly isOldRunKnown: boolean
 	readonly newRuns: boolean
-	/** The executor has refused the placer of the slice that it is in. */
+	/** The executor has refused the placer of its own slice. */
 	readonly isOwnRefused: boolean
-	/** Another slice was added later, and the executor went back. */
+	/** Another slice was added later, and the executor returned to the old placer. */
 	readonly hasReturned: boolean
 }
 
 export interface SlicesGuards {
-	/** The fences of a slice lie above all fences of those below it. */
+	/** A slice's fences lie above all fences of lower slices. */
 	readonly ownRange: boolean
-	/** Room is used only after a hold has listed what runs. */
+	/** A placer uses an executor's room only after a hold has listed its runs. */
 	readonly holdFirst: boolean
-	/** When a slice is added, executors go to that one alone. */
+	/** When a slice is added, executors move only to the new slice. */
 	readonly onlyToNew: boolean
 }
 
@@ -78,7 +78,7 @@
 	hasReturned: false,
 })
 
-/** Of a slice that nobody has claimed before. */
+/** Returns the fence of a slice's first claim. */
 const firstFence = ({ownRange}: SlicesGuards) => (ownRange ? FENCE_RANGE + 1 : 1)
 
 function holdOld(state: SlicesState): SlicesState {
--- a/packages/spec/src/succession-protocol.ts
+++ b/packages/spec/src/succession-protocol.ts
@@ -1,44 +1,45 @@
 /**
- * A run that goes from one placer of a failure domain to the next: the executor is under the lease that the
- * placer before asked for last, the successor has heard nothing of it yet, and its orders may be lost.
+ * A run that passes from one placer of a failure domain to its successor: the executor holds the lease that the
+ * predecessor requested last, the successor has no answer from the executor yet, and its orders may be lost.
  *
- * Time goes in ticks, of which a lease lasts two. A caller whose call to a placer breaks takes the task as
- * ended after four; a placer notices the break within one.
+ * Time is in ticks.
  */
 import type {Specification} from "./explore.js"
 
 const LEASE_TICKS = 2
+/** A placer notices a broken call within this time. */
 const NOTICE_TICKS = 1
+/** A caller whose call broke considers the task ended after this time. */
 const ASSUMED_OVER_TICKS = 4
 
 export interface SuccessionState {
 	readonly isRunning: boolean
-	/** Ticks that are left of the lease that the placer before asked for last. */
+	/** Remaining ticks of the predecessor's last lease. */
 	readonly oldLease: number
-	/** Ticks that are left of the successor's last lease. */
+	/** Remaining ticks of the successor's last lease. */
 	readonly newLease: number
-	/** Whether the successor's list names the executor. */
+	/** The successor's executor list contains the executor. */
 	readonly isListed: boolean
-	/** The run was handed over, and the successor watches it. */
+	/** The run was handed over to the successor, which watches it. */
 	readonly isWatched: boolean
-	/** The executor has answered the successor, so it obeys no fence before. */
+	/** The executor has answered the successor, and rejects lower fences. */
 	readonly isFenced: boolean
-	/** Nobody wants the run any more, and the successor knows it. */
+	/** The successor knows that the run is no longer wanted. */
 	readonly isUnwanted: boolean
-	/** Ticks since the caller's call broke; undefined while it stands. */
+	/** Ticks since the caller's call broke; undefined while the call is open. */
 	readonly ticksSinceBreak: number | undefined
-	/** The caller was told that the run is over, or takes it as over. */
+	/** The caller was told that the run is over, or assumes so. */
 	readonly isOver: boolean
 	/** The task runs again elsewhere. */
 	readonly runsAgain: boolean
 }
 
 export interface SuccessionGuards {
-	/** An executor that has not answered yet is under the longest lease of the placer before. */
+	/** The successor assumes the predecessor's longest lease for an executor that has not answered yet. */
 	readonly assumeLongestLease: boolean
-	/** A run on an executor that the list lacks is watched as any other. */
+	/** A run on an unlisted executor is watched like any other. */
 	readonly watchUnlisted: boolean
-	/** A lease is renewed only for runs that somebody wants here. */
+	/** A lease is renewed only for runs that are still wanted. */
 	readonly renewWantedOnly: boolean
 }
 
@@ -77,7 +78,7 @@
 
 const hasLease = ({oldLease, newLease}: SuccessionState) => oldLease > 0 || newLease > 0
 
-/** What the successor makes of an order that stays without an answer. */
+/** An unanswered order ends a watched run once the leases that the successor knows of have expired. */
 function onOrderLost(state: SuccessionState, guards: SuccessionGuards): SuccessionState {
 	const isLapsed = guards.assumeLongestLease ? !hasLease(state) : state.newLease === 0
 	return state.isWatched && isLapsed ? {...state, isOver: true} : state
--- a/packages/spec/test/confirmation.test.ts
+++ b/packages/spec/test/confirmation.test.ts
@@ -10,18 +10,18 @@
 import {expect} from "chai"
 
 const TWICE = "a task ran twice at once"
-const LONGER = "a run goes on beyond its first lease"
+const LONGER = "a run outlasts its first lease"
 const AGAIN = "the task runs again"
 
 function holds<State, Event extends {readonly type: string}>(spec: Specification<State, Event>) {
-	it("with all guards: no order of events breaks the invariant", () => {
+	it("with all guards: no order of events violates the invariant", () => {
 		const {states, violation} = explore(spec)
 		console.log(`        ${states} states`)
 		expect(violation).to.equal(undefined)
 	})
 }
 
-/** A shortest row of events to a state that breaks the invariant has that many of them. */
+/** A shortest sequence of events to a violation has `length` events. */
 function breaks<State, Event extends {readonly type: string}>(
 	guard: string,
 	spec: Specification<State, Event>,
@@ -35,7 +35,7 @@
 	})
 }
 
-/** With all guards there are states of each of these kinds, so the guards don't hold by forbidding everything. */
+/** Guards that forbid every run would hold the invariant too, so states of each kind must be reachable. */
 function reaches<State, Event extends {readonly type: string}>(
 	spec: Specification<State, Event>,
 	kinds: Readonly<Record<string, (state: State) => boolean>>,
@@ -74,13 +74,13 @@
 		breaks(guard, without(guard), lengths[guard])
 })
 
-describe("specification of confirmed runs whose coordinator places them anew", () => {
+describe("specification of confirmed runs whose coordinator reschedules them", () => {
 	const rules = {...ALL_CONFIRMATION_GUARDS, placesAnew: true}
 	const without = (guard: keyof typeof ALL_CONFIRMATION_GUARDS) =>
 		confirmationProtocol({...rules, [guard]: false})
 	holds(confirmationProtocol(rules))
 	reaches(confirmationProtocol(rules), {
-		"its coordinator places it anew": ({runsAgain, ticksSinceBreak}) =>
+		"its coordinator reschedules it": ({runsAgain, ticksSinceBreak}) =>
 			runsAgain && ticksSinceBreak === undefined,
 	})
 	const lengths = {
@@ -98,7 +98,7 @@
 		breaks(guard, without(guard), lengths[guard])
 })
 
-describe("specification of a task that was handed to another domain", () => {
+describe("specification of a task handed over to another failure domain", () => {
 	const without = (guard: keyof typeof ALL_HANDED_OVER_GUARDS) =>
 		handedOverProtocol({...ALL_HANDED_OVER_GUARDS, [guard]: false})
 	holds(handedOverProtocol())
--- a/packages/spec/test/protocols.test.ts
+++ b/packages/spec/test/protocols.test.ts
@@ -26,7 +26,7 @@
 	name: string,
 	spec: Specification<State, Event>,
 ) {
-	it(`${name}: no order of events breaks the invariant`, () => {
+	it(`${name}: no order of events violates the invariant`, () => {
 		const {states, violation} = explore(spec)
 		console.log(`        ${states} states`)
 		expect(violation).to.equal(undefined)
@@ -38,7 +38,7 @@
 	spec: Specification<State, Event>,
 	what: string,
 ) {
-	it(`${name}: the walk finds that ${what}`, () => {
+	it(`${name}: the search finds that ${what}`, () => {
 		const {violation} = explore(spec)
 		expect(violation?.what).to.equal(what)
 	})
@@ -47,7 +47,7 @@
 const TWICE = "the work started twice"
 const FALSE_REFUSAL = "a copy was answered `not run`, and the work started"
 
-describe("specification of the owner's protocol", () => {
+describe("specification of shard ownership", () => {
 	holds("with all guards", ownerProtocol())
 	breaks("without the seal", ownerProtocol({...ALL_OWNER_GUARDS, seal: false}), TWICE)
 	breaks(
@@ -64,11 +64,11 @@
 	)
 })
 
-describe("specification of the hand-over", () => {
+describe("specification of the shard handover", () => {
 	holds("with all guards", handoverProtocol())
 	breaks("without the flush", handoverProtocol({...ALL_HANDOVER_GUARDS, flush: false}), TWICE)
 	breaks(
-		"with a map write of open fate taken as failed",
+		"with an unanswered map write taken as failed",
 		handoverProtocol({...ALL_HANDOVER_GUARDS, definite: false}),
 		TWICE,
 	)
@@ -96,11 +96,15 @@
 describe("specification of following a prefix of the store", () => {
 	const without = (guard: keyof typeof ALL_FOLLOW_GUARDS) =>
 		followProtocol({...ALL_FOLLOW_GUARDS, [guard]: false})
-	const differs = "a reader that heard everything knows something else"
+	const differs = "an up-to-date reader differs from the store"
 	holds("with all guards", followProtocol())
 	for (const guard of ["firstPage", "lastWrite", "lastChange"] as const)
 		breaks(`without ${guard}`, without(guard), differs)
-	breaks("without keepRefresh", without("keepRefresh"), "what a peer named was forgotten")
+	breaks(
+		"without keepRefresh",
+		without("keepRefresh"),
+		"a revision that a peer reported was forgotten",
+	)
 })
 
 describe("specification of the exchange with an endpoint", () => {
@@ -119,7 +123,7 @@
 		breaks(`without ${guard}`, placerProtocol({...ALL_PLACER_GUARDS, [guard]: false}), twice)
 })
 
-describe("specification of a run that goes from one placer to the next", () => {
+describe("specification of a run that passes to a successor placer", () => {
 	const twice = "a task ran twice at once"
 	holds("with all guards", successionProtocol())
 	for (const guard of ["assumeLongestLease", "watchUnlisted", "renewWantedOnly"] as const)
@@ -130,7 +134,7 @@
 		)
 })
 
-describe("specification of keeping jobs", () => {
+describe("specification of kept jobs", () => {
 	const without = (guard: keyof typeof ALL_KEEPER_GUARDS) =>
 		keeperProtocol({...ALL_KEEPER_GUARDS, [guard]: false})
 	holds("with all guards", keeperProtocol())
@@ -145,7 +149,7 @@
 	breaks("without holdFirst", without("holdFirst"), "a task ran twice at once")
 })
 
-describe("specification of one more slice of a failure domain", () => {
+describe("specification of adding a slice to a failure domain", () => {
 	const without = (guard: keyof typeof ALL_SLICES_GUARDS) =>
 		slicesProtocol({...ALL_SLICES_GUARDS, [guard]: false})
 	const twoPlacers = "two placers used an executor's room"
@@ -153,7 +157,7 @@
 	holds("with all guards", slicesProtocol())
 	breaks("without holdFirst", without("holdFirst"), twoPlacers)
 	breaks("without onlyToNew", without("onlyToNew"), refused)
-	it("without ownRange: the walk finds two placers of one room, and one that is refused", () => {
+	it("without ownRange: the search finds two placers on one executor, and a refused placer", () => {
 		const spec = without("ownRange")
 		const found = tracesTo(spec, state => spec.violation(state)).map(({what}) => what)
 		expect([...new Set(found)]).to.have.members([twoPlacers, refused])
