--- a/packages/standins/test/cancelled.test.ts
+++ b/packages/standins/test/cancelled.test.ts
@@ -4,7 +4,7 @@
 import {askJob, handIn} from "@cottonwood/standins"
 import type {Edge} from "@cottonwood/standins"
 import {expect} from "chai"
-import {loseStops} from "./support/leased-scene.js"
+import {dropStopOrders} from "./support/leased-scene.js"
 import {startLeasedWorld, type LeasedTestWorld} from "./support/leased-world.js"
 
 const sleep = (ms: number) => new Promise<void>(resolve => setTimeout(resolve, ms))
@@ -90,7 +90,7 @@
 		const lateMs = 600
 		for (const hosted of world.platform.executors) {
 			hosted.executor.faults.lateStarts = {count: 10, delayMs: lateMs}
-			loseStops(hosted)
+			dropStopOrders(hosted)
 		}
 		const id = newId()
 		await accept(world.edgeOf("a-1"), id, 1)
--- a/packages/standins/test/support/late-callers.ts
+++ b/packages/standins/test/support/late-callers.ts
@@ -29,34 +29,34 @@
 	options: Options,
 	atDeadline: AtDeadline = "hangs up",
 ): Promise<CallEnd> {
-	const hangUp = new AbortController()
-	const signal = hangUp.signal
+	const controller = new AbortController()
+	const signal = controller.signal
 	const answered: Promise<EdgeAnswer | undefined> = handIn(edge, id, {
 		deadlineMs: CALLER_DEADLINE_MS,
 		...options,
 		signal,
 	}).catch(() => undefined)
 	const answer = await Promise.race([answered, sleep(CALLER_DEADLINE_MS)])
-	if (atDeadline === "hangs up") hangUp.abort()
+	if (atDeadline === "hangs up") controller.abort()
 	return {status: answer ? answer.status : 0, at: performance.now()}
 }
 
 const isOpen = (status: number) => status === 0 || status === 502 || status === 504
 
 /** A caller's tries, while they go on. */
-export interface Calls {
+export interface CallSequence {
 	/** What became of those that are over. */
 	readonly statuses: readonly number[]
 	readonly ended: Promise<unknown>
 }
 
 /** Calls one instance, then, should the job's fate be open, the next one after the contract's wait. */
-export function callInTurn(
+export function callWithResubmits(
 	edges: readonly Edge[],
 	id: string,
 	options: Options,
 	atDeadline: AtDeadline = "hangs up",
-): Calls {
+): CallSequence {
 	const statuses: number[] = []
 
 	async function call() {
--- a/packages/standins/test/support/leased-scene.ts
+++ b/packages/standins/test/support/leased-scene.ts
@@ -7,7 +7,7 @@
 import {sleep} from "./late-callers.js"
 
 const POLL_MS = 2
-const PATIENCE_MS = 8_000
+const WAIT_LIMIT_MS = 8_000
 
 export interface SceneOptions {
 	readonly instances: readonly (readonly [name: string, failureDomain: string])[]
@@ -30,8 +30,8 @@
 }
 
 /** Waits until something holds; rejects when it does not come about. */
-export async function until(what: string, holds: () => boolean, patienceMs = PATIENCE_MS) {
-	const end = performance.now() + patienceMs
+export async function until(what: string, holds: () => boolean, timeoutMs = WAIT_LIMIT_MS) {
+	const end = performance.now() + timeoutMs
 	while (!holds()) {
 		if (performance.now() > end) throw new Error(`not seen: ${what}`)
 		await sleep(POLL_MS)
@@ -39,7 +39,12 @@
 }
 
 /** Lets an instance run by turns, as on a machine that gets too little processor time; resolves at the end. */
-export async function runByTurns(edge: Edge, forMs: number, stoppedMs: number, runningMs: number) {
+export async function runThrottled(
+	edge: Edge,
+	forMs: number,
+	stoppedMs: number,
+	runningMs: number,
+) {
 	const end = performance.now() + forMs
 	while (performance.now() < end) {
 		edge.child.kill("SIGSTOP")
@@ -50,12 +55,12 @@
 }
 
 /** Lets an executor leave unanswered, and do so much later, what is ordered under this fence or a higher one. */
-export function answersLate({executor}: HostedExecutor, fromFence: number, lateMs: number) {
+export function delayAnswers({executor}: HostedExecutor, fromFence: number, lateMs: number) {
 	executor.faults.lateOrders = fence => (fence >= fromFence ? lateMs : undefined)
 }
 
 /** Lets an executor hear no order to stop. */
-export function loseStops({executor}: HostedExecutor) {
+export function dropStopOrders({executor}: HostedExecutor) {
 	const handle = executor.handle.bind(executor)
 	executor.handle = (req, body, res) =>
 		req.url === "/run-stop" ? Promise.resolve() : handle(req, body, res)
--- a/packages/standins/test/two-runs.test.ts
+++ b/packages/standins/test/two-runs.test.ts
@@ -6,15 +6,21 @@
 import type {Edge, HostedExecutor} from "@cottonwood/standins"
 import {expect} from "chai"
 import {
-	answersLate,
-	loseStops,
-	runByTurns,
+	delayAnswers,
+	dropStopOrders,
+	runThrottled,
 	startScene,
 	until,
 	type Scene,
 	type SceneOptions,
 } from "./support/leased-scene.js"
-import {callInTurn, callOnce, sleep, type AtDeadline, type Calls} from "./support/late-callers.js"
+import {
+	callWithResubmits,
+	callOnce,
+	sleep,
+	type AtDeadline,
+	type CallSequence,
+} from "./support/late-callers.js"
 
 /** Longer than the moments that are looked at, shorter than a caller waits. */
 const WORK_MS = 1_300
@@ -64,7 +70,7 @@
 /** A job of two tasks that run in two domains, neither of them that of its placer. */
 interface HandedOut {
 	readonly id: string
-	readonly calls: Calls
+	readonly calls: CallSequence
 	readonly caller: Edge
 	/** The placer of the job. */
 	readonly between: Edge
@@ -119,7 +125,7 @@
 			const options = {spec: {workMs: WORK_MS}}
 			const called = frozen.map(edge => {
 				const id = newId()
-				return {id, calls: callInTurn([edge, scene.edgeOf("b-1")], id, options, atDeadline)}
+				return {id, calls: callWithResubmits([edge, scene.edgeOf("b-1")], id, options, atDeadline)}
 			})
 			await until("the second tries run", () => called.every(({id}) => startsOf(id) === 1))
 			await sleep(UNDER_WAY_MS)
@@ -139,7 +145,7 @@
 		const frozen = scene.placerOf("a")
 		frozen.child.kill("SIGSTOP")
 		const options = {spec: {workMs: WORK_MS}}
-		const calls = callInTurn([frozen, scene.edgeOf("b-1")], id, options, "stays on the line")
+		const calls = callWithResubmits([frozen, scene.edgeOf("b-1")], id, options, "stays on the line")
 		await until("the second try runs", () => startsOf(id) === 1)
 		await sleep(UNDER_WAY_MS)
 		frozen.child.kill("SIGCONT")
@@ -163,7 +169,7 @@
 		placer.child.kill("SIGSTOP")
 		await sleep(ARRIVED_MS)
 		const options = {spec: {workMs: WORK_MS}}
-		const calls = callInTurn([caller, scene.edgeOf("b-1")], id, options)
+		const calls = callWithResubmits([caller, scene.edgeOf("b-1")], id, options)
 		await sleep(UNDER_WAY_MS)
 		caller.child.kill("SIGSTOP")
 		await until("the second try runs", () => startsOf(id) === 1)
@@ -187,7 +193,7 @@
 		await warming
 		const options = {count: 2, spec: {workMs: 2_500}, deadlineMs: 6_000}
 		const id = newId()
-		const calls = callInTurn([caller, scene.edgeOf("c-1")], id, options)
+		const calls = callWithResubmits([caller, scene.edgeOf("c-1")], id, options)
 		await until("both other domains have a task again", areHandedOver)
 		await sleep(KEEPALIVE_MS)
 		// The silence is longest when a sign of life has just been answered.
@@ -206,7 +212,7 @@
 	it("never come of handed tasks whose executors hear no stop, after their coordinator was killed", async () => {
 		await begin(FOUR_DOMAINS)
 		const {id, calls, caller, between, hosts} = await handOut()
-		hosts.forEach(loseStops)
+		hosts.forEach(dropStopOrders)
 		between.child.kill("SIGSTOP")
 		caller.child.kill("SIGKILL")
 		await until("the second try runs", () => startsOf(id) === 2)
@@ -234,7 +240,7 @@
 	})
 
 	/** An instance loses its power: its caller hears of a broken connection, its peers hear nothing any more. */
-	async function loseCoordinator(): Promise<{readonly id: string; readonly calls: Calls}> {
+	async function loseCoordinator(): Promise<{readonly id: string; readonly calls: CallSequence}> {
 		const caller = scene.otherOf("a")
 		const link = await openLink(() => Number(caller.callers.split(":")[1]))
 		const warming = warmUp(caller)
@@ -245,7 +251,7 @@
 		const id = newId()
 		const linked = {...caller, callers: `127.0.0.1:${link.port}`}
 		const options = {spec: {workMs: 2_500}, deadlineMs: 6_000}
-		const calls = callInTurn([linked, scene.edgeOf("b-1")], id, options)
+		const calls = callWithResubmits([linked, scene.edgeOf("b-1")], id, options)
 		await until("the placer has the job", isThere)
 		await sleep(KEEPALIVE_MS)
 		const sinceConnected = performance.now() - connectedAt
@@ -263,7 +269,7 @@
 	 */
 	it("never come of a coordinator that lost its power while an executor hears no stop", async () => {
 		await begin(TWO_DOMAINS)
-		scene.executorsOf("a").forEach(loseStops)
+		scene.executorsOf("a").forEach(dropStopOrders)
 		const {id, calls} = await loseCoordinator()
 		await until("the second try runs", () => startsOf(id) === 2)
 		expect(calls.statuses).to.eql([0])
@@ -292,7 +298,7 @@
 		placer.child.kill("SIGSTOP")
 		await sleep(ARRIVED_MS)
 		const options = {spec: {workMs: WORK_MS}}
-		const calls = callInTurn([caller, scene.edgeOf("b-1")], id, options)
+		const calls = callWithResubmits([caller, scene.edgeOf("b-1")], id, options)
 		await sleep(UNDER_WAY_MS)
 		caller.child.kill("SIGKILL")
 		await until("the second try runs", () => startsOf(id) === 1)
@@ -313,7 +319,7 @@
 		host.child.kill("SIGSTOP")
 		await sleep(ARRIVED_MS)
 		const options = {spec: {workMs: WORK_MS}}
-		const calls = callInTurn([first, scene.edgeOf("c-1")], id, options)
+		const calls = callWithResubmits([first, scene.edgeOf("c-1")], id, options)
 		await sleep(UNDER_WAY_MS)
 		first.child.kill("SIGKILL")
 		await until("the second try runs", () => startsOf(id) === 1)
@@ -328,8 +334,8 @@
 		await begin(TWO_DOMAINS)
 		const slow = scene.placerOf("a")
 		const options = {spec: {workMs: WORK_MS}}
-		const calls = callInTurn([slow, scene.edgeOf("b-1")], newId(), options)
-		await runByTurns(slow, 4_300, 350, 20)
+		const calls = callWithResubmits([slow, scene.edgeOf("b-1")], newId(), options)
+		await runThrottled(slow, 4_300, 350, 20)
 		await calls.ended
 		expectNoneTwice()
 	})
@@ -340,9 +346,9 @@
 		const placer = scene.placerOf("a")
 		const caller = scene.otherOf("a")
 		await warmUp(caller)
-		for (const hosted of scene.executorsOf("a")) answersLate(hosted, 2, 2_000)
+		for (const hosted of scene.executorsOf("a")) delayAnswers(hosted, 2, 2_000)
 		const options = {spec: {workMs: 2_500}, deadlineMs: 6_000}
-		const calls = callInTurn([caller, scene.edgeOf("b-1")], id, options)
+		const calls = callWithResubmits([caller, scene.edgeOf("b-1")], id, options)
 		await until("it runs", () => startsOf(id) === 1)
 		placer.child.kill("SIGSTOP")
 		await sleep(1_250)
@@ -358,9 +364,9 @@
 		const ids = Array.from({length: 4}, newId)
 		const hosted = scene.executorsOf("a")[0] as HostedExecutor
 		const options = {spec: {workMs: WORK_MS}, deadlineMs: 5_000}
-		answersLate(hosted, 0, 500)
+		delayAnswers(hosted, 0, 500)
 		const instances = [scene.otherOf("a"), scene.edgeOf("b-1"), scene.edgeOf("b-2")]
-		const calls = ids.map(id => callInTurn(instances, id, options))
+		const calls = ids.map(id => callWithResubmits(instances, id, options))
 		await sleep(500)
 		hosted.executor.faults.lateOrders = undefined
 		await Promise.all(calls.map(({ended}) => ended))
