--- a/packages/standins/test/support/late-callers.ts
+++ b/packages/standins/test/support/late-callers.ts
@@ -1,20 +1,19 @@
 /**
- * Callers that keep to the contract: what stayed open is handed in again, under the same id, no sooner than
- * the contract says.
+ * Callers that keep to the contract: a job whose outcome is unknown is submitted again under the same id, no
+ * sooner than the contract says.
  */
 import {handIn, type Edge, type EdgeAnswer} from "@cottonwood/standins"
 
-/** How long a caller waits for an answer. */
 export const CALLER_DEADLINE_MS = 1_500
-/** From the contract: after silence, a broken connection, 502 or 504 the same id comes again after this. */
+/** The contract's wait before the same id is submitted again after silence, a broken connection, 502 or 504. */
 export const RESUBMIT_MS = 1_300
 
 export const sleep = (ms: number) => new Promise<void>(resolve => setTimeout(resolve, ms))
 
-/** Whether a caller that has waited in vain hangs up, or leaves the connection to itself. */
+/** Whether a caller closes its connection when its deadline passes without an answer. */
 export type AtDeadline = "hangs up" | "stays on the line"
 
-/** What became of a call; 0 stands for silence until the deadline, or a broken connection. */
+/** The end of a call: HTTP status, or 0 for no answer by the deadline or a broken connection; time by performance.now(). */
 export interface CallEnd {
 	readonly status: number
 	readonly at: number
@@ -22,7 +21,7 @@
 
 type Options = NonNullable<Parameters<typeof handIn>[2]>
 
-/** Calls an instance, and waits for an answer no longer than the caller's deadline. */
+/** Submits a job to an instance and waits for the answer until the caller's deadline. */
 export async function callOnce(
 	edge: Edge,
 	id: string,
@@ -43,14 +42,14 @@
 
 const isOpen = (status: number) => status === 0 || status === 502 || status === 504
 
-/** A caller's tries, while they go on. */
+/** A caller's attempts in progress. */
 export interface CallSequence {
-	/** What became of those that are over. */
+	/** Status of each finished attempt, in order. */
 	readonly statuses: readonly number[]
 	readonly ended: Promise<unknown>
 }
 
-/** Calls one instance, then, should the job's fate be open, the next one after the contract's wait. */
+/** Calls the instances in turn, each after the contract's wait, while the job's outcome is unknown. */
 export function callWithResubmits(
 	edges: readonly Edge[],
 	id: string,
--- a/packages/standins/test/support/leased-scene.ts
+++ b/packages/standins/test/support/leased-scene.ts
@@ -1,6 +1,6 @@
 /**
- * A scene on real instances in which one moment is brought about: who is frozen, slowed or killed, and what
- * each executor was seen to run.
+ * Fault scenarios on real instances and stand-in executors: helpers that start a fleet, throttle an instance, and
+ * delay or drop an executor's orders.
  */
 import {startEdges, startLeasedPlatform, untilPlaced} from "@cottonwood/standins"
 import type {Edge, EdgeFleet, HostedExecutor, LeasedPlatform} from "@cottonwood/standins"
@@ -12,33 +12,33 @@
 export interface SceneOptions {
 	readonly instances: readonly (readonly [name: string, failureDomain: string])[]
 	readonly executorsPerDomain?: number
-	/** What of placing is switched on; by default nothing. */
+	/** Placing features to enable; none by default. */
 	readonly placing?: Readonly<Record<string, unknown>>
 }
 
 export interface Scene {
 	readonly platform: LeasedPlatform
 	readonly fleet: EdgeFleet
-	/** The newest life of an instance. */
+	/** The latest process of an instance. */
 	edgeOf(name: string): Edge
-	/** The instance that places a failure domain by the store. */
+	/** The instance that holds the failure domain's claim in the store. */
 	placerOf(failureDomain: string): Edge
-	/** An instance of the domain that does not place it. */
+	/** Another instance of the same failure domain. */
 	otherOf(failureDomain: string): Edge
 	executorsOf(failureDomain: string): readonly HostedExecutor[]
 	close(): Promise<void>
 }
 
-/** Waits until something holds; rejects when it does not come about. */
+/** Polls until `holds` returns true; rejects after `timeoutMs`. */
 export async function until(what: string, holds: () => boolean, timeoutMs = WAIT_LIMIT_MS) {
 	const end = performance.now() + timeoutMs
 	while (!holds()) {
-		if (performance.now() > end) throw new Error(`not seen: ${what}`)
+		if (performance.now() > end) throw new Error(`timed out waiting for: ${what}`)
 		await sleep(POLL_MS)
 	}
 }
 
-/** Lets an instance run by turns, as on a machine that gets too little processor time; resolves at the end. */
+/** Stops and continues an instance in turn, as on a machine short of CPU; resolves after `forMs`. */
 export async function runThrottled(
 	edge: Edge,
 	forMs: number,
@@ -54,12 +54,12 @@
 	}
 }
 
-/** Lets an executor leave unanswered, and do so much later, what is ordered under this fence or a higher one. */
+/** Makes an executor leave orders of this fence or a higher one unanswered, and carry them out `lateMs` later. */
 export function delayAnswers({executor}: HostedExecutor, fromFence: number, lateMs: number) {
 	executor.faults.lateOrders = fence => (fence >= fromFence ? lateMs : undefined)
 }
 
-/** Lets an executor hear no order to stop. */
+/** Makes an executor ignore stop orders and leave them unanswered. */
 export function dropStopOrders({executor}: HostedExecutor) {
 	const handle = executor.handle.bind(executor)
 	executor.handle = (req, body, res) =>
--- a/packages/standins/test/support/leased-world.ts
+++ b/packages/standins/test/support/leased-world.ts
@@ -1,5 +1,5 @@
 /**
- * A small fleet of the program on the stand-in of the users' platform: two failure domains, three instances.
+ * A small fleet on the stand-in platform: two failure domains, three instances.
  */
 import {startEdges, startLeasedPlatform, untilPlaced} from "@cottonwood/standins"
 import type {Edge, EdgeFleet, LeasedPlatform} from "@cottonwood/standins"
@@ -7,14 +7,14 @@
 export interface LeasedTestWorld {
 	readonly platform: LeasedPlatform
 	readonly fleet: EdgeFleet
-	/** The newest life of an instance. */
+	/** The latest process of an instance. */
 	edgeOf(name: string): Edge
-	/** The name of the instance that places a failure domain. */
+	/** The name of the instance that holds the failure domain's claim in the store. */
 	placerOf(domain: string): string
 	close(): Promise<void>
 }
 
-/** Starts platform and fleet, and waits until every executor is placed. */
+/** Starts platform and fleet, and waits until every executor has a placer. */
 export async function startLeasedWorld(): Promise<LeasedTestWorld> {
 	const platform = await startLeasedPlatform({failureDomains: ["a", "b"], executorsPerDomain: 3})
 	platform.putConfig(1)
