--- a/packages/spec/src/confirmation-protocol.ts
+++ b/packages/spec/src/confirmation-protocol.ts
@@ -1,17 +1,14 @@
 /**
- * How long a run lives that nobody may want any more: its caller's coordinator confirms it, the placer bounds the
- * executor's lease by that confirmation, and the caller comes back only when the bound is past. A coordinator that has lost the
- * call's stream may place the job anew itself, once the bound is past since it told the placer of it last.
+ * Bounds the lifetime of a run that may no longer be wanted. The caller's coordinator confirms the call, the placer ends
+ * the executor's lease within a bound after the last confirmation, and the caller resubmits only after that bound. A
+ * coordinator that has lost the call's stream may reschedule the job once the bound has passed since its last confirmation.
  *
- * A coordinator confirms a call as of a moment of the placer's clock: the reading of a pulse, moved by the time that passed
- * at the coordinator until it had read all its connections. So a pulse that was late by some ticks makes the
- * confirmed moment older by as many. Ages are ticks of one real clock; differing rates are left to the margins of
- * the real rule.
+ * A confirmation names a time on the placer's clock: the time in a pulse, plus the time the coordinator then took to read
+ * its connections. A late pulse makes the confirmation older. Ages are ticks of one clock; clock drift is not modelled.
  *
- * Processes and messages may be late without bound: every step may be taken at any later tick, or never. Of several
- * messages of one kind under way the model has the latest, which allows the most. A neighbour runs on the same executor
- * all the time, and its own caller's confirmation is always fresh. A successor has the call as the first placer had it.
- * The executor alone keeps time: it ends a run within the tick in which the lease ends.
+ * Any process or message may be delayed without bound or lost. Of several messages of one kind in flight, the model keeps
+ * the latest, which permits the most. Another run on the same executor always has a fresh confirmation. A successor has the
+ * call as the first placer had it. Only the executor is on time: it ends a run within the tick in which the lease ends.
  */
 import {
 	ALL_CONFIRMATION_GUARDS,
@@ -23,20 +20,20 @@
 import type {Specification} from "./explore.js"
 
 const LEASE_TICKS = 2
-/** All runs on an executor end that long after their confirmation. */
+/** Every run ends this long after its last confirmation. */
 const BOUND_TICKS = 2
-/** A tick ends leases before anything else happens in it, so a caller that waits as long as the bound comes later. */
+/** Equal to the bound, because a tick ends leases before any other event in it. */
 const RESUBMIT_TICKS = BOUND_TICKS
-/** An age from which on a confirmation allows nothing. */
+/** A confirmation of this age permits nothing. */
 const STALE_TICKS = BOUND_TICKS
 
 type EventType = ConfirmationEvent["type"]
 
 const INITIAL: ConfirmationState = Object.freeze({
-	brokenFor: undefined,
+	ticksSinceBreak: undefined,
 	coordinator: "wants it",
-	wantedAge: STALE_TICKS,
-	toldAge: STALE_TICKS,
+	coordinatorConfirmedAge: STALE_TICKS,
+	reportedAge: STALE_TICKS,
 	call: "unsent",
 	confirmedAge: STALE_TICKS,
 	confirmation: undefined,
@@ -44,42 +41,42 @@
 	startLease: 0,
 	lease: 0,
 	order: undefined,
-	askedLease: 0,
+	requestedLease: 0,
 	hasSuccessor: false,
 	isOrphan: false,
 	runsAgain: false,
 })
 
-const isThere = ({run}: ConfirmationState) => run === "ordered" || run === "running"
+const hasRun = ({run}: ConfirmationState) => run === "ordered" || run === "running"
 
-/** What the executor's lease may still be for the run's own sake. */
-const boundOf = ({confirmedAge}: ConfirmationState) => BOUND_TICKS - confirmedAge
+/** Returns the longest lease, in ticks, that the run's own confirmation permits. */
+const leaseBound = ({confirmedAge}: ConfirmationState) => BOUND_TICKS - confirmedAge
 
-/** The longest lease that the placer may ask for now, for a neighbour's sake too. */
+/** Returns the longest lease, in ticks, that the placer may request now, for any run on the executor. */
 function allowedLease(state: ConfirmationState, guards: ConfirmationGuards): number {
 	if (state.isOrphan) return guards.renewNoOrphans ? 0 : LEASE_TICKS
-	if (!isThere(state) || !guards.boundByOldest) return LEASE_TICKS
-	return Math.min(LEASE_TICKS, boundOf(state))
+	if (!hasRun(state) || !guards.boundByOldest) return LEASE_TICKS
+	return Math.min(LEASE_TICKS, leaseBound(state))
 }
 
 function mayStart(state: ConfirmationState, guards: ConfirmationGuards): boolean {
-	if (state.call !== "read" || state.run !== "none" || boundOf(state) === 0) return false
-	return !guards.lookBeforeStart || state.askedLease <= boundOf(state)
+	if (state.call !== "read" || state.run !== "none" || leaseBound(state) === 0) return false
+	return !guards.checkLeaseBeforeStart || state.requestedLease <= leaseBound(state)
 }
 
-/** The coordinator has read all its connections, and the pulse that it goes by was late by some ticks. */
+/** The coordinator has read all its connections after a pulse that was `pulseTicks` late. */
 function readConnections(
 	state: ConfirmationState,
 	pulseTicks: number,
 	guards: ConfirmationGuards,
 ): ConfirmationState {
-	const isFound = state.brokenFor !== undefined && guards.breakIsSeen
+	const isFound = state.ticksSinceBreak !== undefined && guards.detectBreak
 	if (isFound) return {...state, coordinator: "cancelled it"}
-	return {...state, wantedAge: Math.min(state.wantedAge, pulseTicks)}
+	return {...state, coordinatorConfirmedAge: Math.min(state.coordinatorConfirmedAge, pulseTicks)}
 }
 
-function tell(state: ConfirmationState): ConfirmationState {
-	return {...state, toldAge: Math.min(state.toldAge, state.wantedAge)}
+function noteReported(state: ConfirmationState): ConfirmationState {
+	return {...state, reportedAge: Math.min(state.reportedAge, state.coordinatorConfirmedAge)}
 }
 
 function readCall(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
@@ -87,34 +84,34 @@
 }
 
 function readConfirmation(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
-	const toldAge = guards.ageOfConfirmation ? (state.confirmation ?? STALE_TICKS) : 0
-	const confirmedAge = Math.min(state.confirmedAge, toldAge)
+	const age = guards.ageOfConfirmation ? (state.confirmation ?? STALE_TICKS) : 0
+	const confirmedAge = Math.min(state.confirmedAge, age)
 	return {...state, confirmation: undefined, confirmedAge}
 }
 
 function askLease(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
 	const asked = allowedLease(state, guards)
-	return {...state, order: asked, askedLease: Math.max(state.askedLease, asked)}
+	return {...state, order: asked, requestedLease: Math.max(state.requestedLease, asked)}
 }
 
 function orderStart(state: ConfirmationState): ConfirmationState {
-	const startLease = Math.min(LEASE_TICKS, boundOf(state))
-	const askedLease = Math.max(state.askedLease, startLease)
-	return {...state, run: "ordered", startLease, askedLease}
+	const startLease = Math.min(LEASE_TICKS, leaseBound(state))
+	const requestedLease = Math.max(state.requestedLease, startLease)
+	return {...state, run: "ordered", startLease, requestedLease}
 }
 
-function takeStart(state: ConfirmationState): ConfirmationState {
+function receiveStart(state: ConfirmationState): ConfirmationState {
 	if (state.startLease === 0) return {...state, run: "ended"}
 	return {...state, run: "running", lease: Math.max(state.lease, state.startLease)}
 }
 
-function presumedLease({presumeLease, presumeAtFence}: ConfirmationGuards): number {
-	if (!presumeLease) return 0
-	// A successor that presumes as of its own beginning is at least a tick early.
-	return presumeAtFence ? LEASE_TICKS : LEASE_TICKS - 1
+function assumedLease({assumeLongestLease, assumeLeaseFromFence}: ConfirmationGuards): number {
+	if (!assumeLongestLease) return 0
+	// Counted from the successor's own start, the assumption is at least a tick early.
+	return assumeLeaseFromFence ? LEASE_TICKS : LEASE_TICKS - 1
 }
 
-/** The executor obeys no order of the placer before any more; what it lists is all that the successor knows. */
+/** The executor rejects the predecessor's orders from here on; the successor knows only the runs that it lists. */
 function takeOver(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
 	return {
 		...state,
@@ -122,7 +119,7 @@
 		isOrphan: state.run === "running",
 		run: state.run === "ordered" ? "ended" : state.run,
 		order: undefined,
-		askedLease: presumedLease(guards),
+		requestedLease: assumedLease(guards),
 	}
 }
 
@@ -130,29 +127,30 @@
 const shorter = (left: number) => Math.max(0, left - 1)
 
 function tick(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
-	const {brokenFor, confirmation, order, run} = state
+	const {ticksSinceBreak, confirmation, order, run} = state
 	const lease = shorter(state.lease)
 	return {
 		...state,
-		brokenFor: brokenFor === undefined ? undefined : Math.min(RESUBMIT_TICKS, brokenFor + 1),
-		wantedAge: older(state.wantedAge),
-		toldAge: older(state.toldAge),
+		ticksSinceBreak:
+			ticksSinceBreak === undefined ? undefined : Math.min(RESUBMIT_TICKS, ticksSinceBreak + 1),
+		coordinatorConfirmedAge: older(state.coordinatorConfirmedAge),
+		reportedAge: older(state.reportedAge),
 		confirmedAge: older(state.confirmedAge),
 		confirmation: confirmation === undefined ? undefined : older(confirmation),
 		run: run === "running" && lease === 0 ? "ended" : run,
 		startLease: shorter(state.startLease),
 		lease,
 		order: order !== undefined && guards.absoluteEnd ? shorter(order) : order,
-		askedLease: shorter(state.askedLease),
+		requestedLease: shorter(state.requestedLease),
 	}
 }
 
-/** A clock that stands still meanwhile takes all that the placer goes by for as fresh as before. */
+/** With a clock that stops during suspension, the placer's ages do not grow. */
 function tickSuspended(state: ConfirmationState, guards: ConfirmationGuards): ConfirmationState {
 	const later = tick(state, guards)
 	if (guards.countSuspension) return later
-	const {confirmedAge, confirmation, askedLease} = state
-	return {...later, confirmedAge, confirmation, askedLease}
+	const {confirmedAge, confirmation, requestedLease} = state
+	return {...later, confirmedAge, confirmation, requestedLease}
 }
 
 type Step = (state: ConfirmationState, guards: ConfirmationGuards) => ConfirmationState
@@ -160,17 +158,24 @@
 const STEPS: Readonly<Record<EventType, Step>> = {
 	"connections read after a prompt pulse": (state, guards) => readConnections(state, 0, guards),
 	"connections read after a late pulse": (state, guards) => readConnections(state, 1, guards),
-	"call sent": state => ({...tell(state), call: "under way", confirmedAge: state.wantedAge}),
+	"call sent": state => ({
+		...noteReported(state),
+		call: "under way",
+		confirmedAge: state.coordinatorConfirmedAge,
+	}),
 	"call read": readCall,
-	"confirmation sent": state => ({...tell(state), confirmation: state.wantedAge}),
+	"confirmation sent": state => ({
+		...noteReported(state),
+		confirmation: state.coordinatorConfirmedAge,
+	}),
 	"confirmation read": readConfirmation,
 	"confirmation of others read": state => ({...state, confirmedAge: 0}),
 	"cancel read": state => ({...state, call: "cancelled"}),
-	"connection breaks": state => ({...state, brokenFor: 0}),
-	"answered open": state => ({...state, brokenFor: 0, coordinator: "cancelled it"}),
+	"connection breaks": state => ({...state, ticksSinceBreak: 0}),
+	"answered open": state => ({...state, ticksSinceBreak: 0, coordinator: "cancelled it"}),
 	"coordinator dies or loses its stream": state => ({
 		...state,
-		brokenFor: state.brokenFor ?? 0,
+		ticksSinceBreak: state.ticksSinceBreak ?? 0,
 		coordinator: "is gone",
 	}),
 	"coordinator loses its stream, its caller waits on": state => ({
@@ -184,7 +189,7 @@
 		lease: Math.max(state.lease, state.order ?? 0),
 	}),
 	"start ordered": orderStart,
-	"start arrives": takeStart,
+	"start arrives": receiveStart,
 	"stop carried out": state => ({...state, run: "ended"}),
 	"successor fences": takeOver,
 	"run handed over": state => ({...state, isOrphan: false}),
@@ -194,51 +199,56 @@
 	"tick while the placer is suspended": tickSuspended,
 }
 
-/** Whether the call's run has ended, or can never begin; each call has one. */
+/** Whether the call's only run has ended or can never start. */
 function isSettled({run, call, coordinator}: ConfirmationState): boolean {
 	if (run !== "none") return run === "ended"
 	return call === "cancelled" || (call === "unsent" && coordinator !== "wants it")
 }
 
-/** Leaves out what can no longer tell one future from another. */
-function reduced(
+/** Resets fields that no longer affect later states, to keep the state space small. */
+function normalize(
 	state: ConfirmationState,
 	{absoluteEnd, placesAnew = false}: ConfirmationRules,
 ): ConfirmationState {
 	if (isSettled(state)) return {...INITIAL, run: "ended"}
 	const {order, lease} = state
-	const isOrderIdle = absoluteEnd && order !== undefined && order <= lease
+	const isOrderRedundant = absoluteEnd && order !== undefined && order <= lease
 	return {
 		...state,
-		order: isOrderIdle ? undefined : order,
-		wantedAge: state.coordinator === "wants it" ? state.wantedAge : STALE_TICKS,
-		toldAge: placesAnew && state.coordinator !== "cancelled it" ? state.toldAge : STALE_TICKS,
+		order: isOrderRedundant ? undefined : order,
+		coordinatorConfirmedAge:
+			state.coordinator === "wants it" ? state.coordinatorConfirmedAge : STALE_TICKS,
+		reportedAge:
+			placesAnew && state.coordinator !== "cancelled it" ? state.reportedAge : STALE_TICKS,
 	}
 }
 
-/** Whether a confirmation that is meant for others would be taken for the call's own. */
-function isMistaken(
+/** Whether a confirmation of other calls would be applied to this call. */
+function isMisattributed(
 	{call, coordinator}: ConfirmationState,
-	{keepCancelled, ownStream}: ConfirmationGuards,
+	{cancelIsFinal, confirmOwnStreamOnly}: ConfirmationGuards,
 ) {
-	if (coordinator === "cancelled it") return call === "cancelled" && !keepCancelled
-	return coordinator === "is gone" && call === "read" && !ownStream
+	if (coordinator === "cancelled it") return call === "cancelled" && !cancelIsFinal
+	return coordinator === "is gone" && call === "read" && !confirmOwnStreamOnly
 }
 
 function callEvents(
 	state: ConfirmationState,
 	{placesAnew = false}: ConfirmationRules,
 ): readonly (readonly [EventType, boolean])[] {
-	const {brokenFor, coordinator, call, confirmation, wantedAge} = state
+	const {ticksSinceBreak, coordinator, call, confirmation, coordinatorConfirmedAge} = state
 	const isWanted = coordinator === "wants it"
-	const isWaiting = brokenFor === undefined
-	const isNews = wantedAge < Math.min(STALE_TICKS, confirmation ?? STALE_TICKS)
+	const isWaiting = ticksSinceBreak === undefined
+	const isNewer = coordinatorConfirmedAge < Math.min(STALE_TICKS, confirmation ?? STALE_TICKS)
 	return [
-		["connections read after a prompt pulse", isWanted && (wantedAge > 0 || !isWaiting)],
-		["connections read after a late pulse", isWanted && wantedAge > 1 && isWaiting],
-		["call sent", isWanted && call === "unsent" && wantedAge < STALE_TICKS],
+		[
+			"connections read after a prompt pulse",
+			isWanted && (coordinatorConfirmedAge > 0 || !isWaiting),
+		],
+		["connections read after a late pulse", isWanted && coordinatorConfirmedAge > 1 && isWaiting],
+		["call sent", isWanted && call === "unsent" && coordinatorConfirmedAge < STALE_TICKS],
 		["call read", call === "under way"],
-		["confirmation sent", isWanted && call !== "unsent" && isNews],
+		["confirmation sent", isWanted && call !== "unsent" && isNewer],
 		["confirmation read", call === "read" && confirmation !== undefined],
 		[
 			"cancel read",
@@ -255,27 +265,32 @@
 	state: ConfirmationState,
 	guards: ConfirmationRules,
 ): readonly (readonly [EventType, boolean])[] {
-	const {brokenFor, coordinator, toldAge, call, run, lease, order} = state
+	const {ticksSinceBreak, coordinator, reportedAge, call, run, lease, order} = state
 	const {hasSuccessor, isOrphan, runsAgain} = state
-	const resubmitTicks = guards.comeBackLate ? RESUBMIT_TICKS : RESUBMIT_TICKS - 1
-	const overTicks = guards.placeAnewLate ? BOUND_TICKS : BOUND_TICKS - 1
-	const isOverFor = guards.placesAnew && coordinator === "is gone" && toldAge >= overTicks
+	const resubmitTicks = guards.resubmitAfterBound ? RESUBMIT_TICKS : RESUBMIT_TICKS - 1
+	const rescheduleTicks = guards.rescheduleAfterBound ? BOUND_TICKS : BOUND_TICKS - 1
+	const mayReschedule =
+		guards.placesAnew && coordinator === "is gone" && reportedAge >= rescheduleTicks
 	const isUnwanted = call === "cancelled" || isOrphan
-	// Before the break it makes no difference: nobody comes back.
-	const isUnheardOf = (brokenFor !== undefined || coordinator === "is gone") && isThere(state)
+	// Nobody resubmits before the break, so suspension matters only after it.
+	const isUnconfirmed =
+		(ticksSinceBreak !== undefined || coordinator === "is gone") && hasRun(state)
 	return [
-		["confirmation of others read", isMistaken(state, guards)],
+		["confirmation of others read", isMisattributed(state, guards)],
 		["lease asked", allowedLease(state, guards) > Math.max(lease, order ?? 0)],
 		["order arrives", order !== undefined],
 		["start ordered", mayStart(state, guards)],
 		["start arrives", run === "ordered"],
-		["stop carried out", isThere(state) && isUnwanted],
+		["stop carried out", hasRun(state) && isUnwanted],
 		["successor fences", !hasSuccessor],
 		["run handed over", isOrphan],
-		["caller comes back", !runsAgain && brokenFor !== undefined && brokenFor >= resubmitTicks],
-		["placed anew", !runsAgain && isOverFor === true],
+		[
+			"caller comes back",
+			!runsAgain && ticksSinceBreak !== undefined && ticksSinceBreak >= resubmitTicks,
+		],
+		["placed anew", !runsAgain && mayReschedule === true],
 		["tick", true],
-		["tick while the placer is suspended", !guards.countSuspension && isUnheardOf],
+		["tick while the placer is suspended", !guards.countSuspension && isUnconfirmed],
 	]
 }
 
@@ -288,12 +303,13 @@
 	return rules.filter(([, isEnabled]) => isEnabled).map(([type]) => ({type}))
 }
 
+/** Violated when the task runs on the executor and elsewhere at once. */
 export function confirmationProtocol(
 	guards: ConfirmationRules = ALL_CONFIRMATION_GUARDS,
 ): Specification<ConfirmationState, ConfirmationEvent> {
 	return {
 		initial: INITIAL,
-		next: (state, {type}) => reduced(STEPS[type](state, guards), guards),
+		next: (state, {type}) => normalize(STEPS[type](state, guards), guards),
 		enabled: state => enabled(state, guards),
 		violation: ({run, runsAgain}) =>
 			run === "running" && runsAgain ? "a task ran twice at once" : undefined,
--- a/packages/spec/src/explore.ts
+++ b/packages/spec/src/explore.ts
@@ -1,5 +1,6 @@
 /**
- * The exhaustive walk over a specification: every state that any order of events can reach.
+ * Exhaustive state-space search over a specification: every state that any order of events can reach.
+ * The tests of the specifications use it, and tests that replay its traces against real code.
  */
 import {getAdjacencyMap, getShortestPaths} from "@xstate/graph"
 import {fromTransition} from "xstate"
@@ -9,19 +10,19 @@
 	readonly initial: State
 	readonly next: (state: State, event: Event) => State
 	readonly enabled: (state: State) => readonly Event[]
-	/** Says what a state breaks; undefined for a good state. */
+	/** Names the violated invariant; undefined for a valid state. */
 	readonly violation: (state: State) => string | undefined
 }
 
 export interface Exploration<Event> {
 	readonly states: number
-	/** A shortest row of events to a state that breaks the invariant. */
+	/** A shortest sequence of events to a state that violates the invariant. */
 	readonly violation?: {readonly what: string; readonly events: readonly Event[]}
 }
 
 const STATE_LIMIT = 60_000
 
-interface Wrapped<State> {
+interface Snapshot<State> {
 	readonly context: State
 }
 
@@ -33,43 +34,43 @@
 	)
 }
 
-function optionsOf<State, Event extends {readonly type: string}>(
+function traversalOptions<State, Event extends {readonly type: string}>(
 	spec: Specification<State, Event>,
 ) {
 	return {
 		events: (snapshot: unknown) => {
-			const state = (snapshot as Wrapped<State>).context
+			const state = (snapshot as Snapshot<State>).context
 			return spec.violation(state) === undefined ? [...spec.enabled(state)] : []
 		},
-		serializeState: (snapshot: unknown) => JSON.stringify((snapshot as Wrapped<State>).context),
+		serializeState: (snapshot: unknown) => JSON.stringify((snapshot as Snapshot<State>).context),
 		serializeEvent: (event: unknown) => JSON.stringify(event),
 		limit: STATE_LIMIT,
 	}
 }
 
-/** Walks all states; stops at nothing but the limit, which is an error. */
+/** Visits all reachable states; throws when there are more than STATE_LIMIT. */
 export function explore<State, Event extends {readonly type: string}>(
 	spec: Specification<State, Event>,
 ): Exploration<Event> {
 	const logic = toLogic(spec)
-	const options = optionsOf(spec)
+	const options = traversalOptions(spec)
 	const map = getAdjacencyMap(logic as never, options as never)
 	const states = Object.values(map).map(
-		item => (item as unknown as {state: Wrapped<State>}).state.context,
+		item => (item as unknown as {state: Snapshot<State>}).state.context,
 	)
 	const broken = states.find(state => spec.violation(state) !== undefined)
 	if (broken === undefined) return {states: states.length}
 	return {states: states.length, violation: tracesTo(spec, state => spec.violation(state))[0]!}
 }
 
-/** Returns shortest rows of events to all states for which `wanted` says what they show. */
+/** Returns a shortest sequence of events to each state for which `describe` returns a text. */
 export function tracesTo<State, Event extends {readonly type: string}>(
 	spec: Specification<State, Event>,
-	wanted: (state: State) => string | undefined,
+	describe: (state: State) => string | undefined,
 ): readonly {readonly what: string; readonly events: readonly Event[]}[] {
-	const paths = getShortestPaths(toLogic(spec) as never, optionsOf(spec) as never)
+	const paths = getShortestPaths(toLogic(spec) as never, traversalOptions(spec) as never)
 	return paths.flatMap(path => {
-		const what = wanted((path.state as unknown as Wrapped<State>).context)
+		const what = describe((path.state as unknown as Snapshot<State>).context)
 		if (what === undefined) return []
 		const events = path.steps
 			.map(step => step.event as unknown as Event)
--- a/packages/spec/src/handed-over-protocol.ts
+++ b/packages/spec/src/handed-over-protocol.ts
@@ -1,69 +1,68 @@
 /**
- * A task that a placer hands to a host, the placer of another domain: the placer passes on the confirmation that it has
- * of the caller's coordinator, gives the host up when it gets no answer, and then runs the task itself, while the
- * caller may come back as well.
+ * A task that a placer hands over to a host, the placer of another failure domain. The placer forwards the confirmations of
+ * the caller's coordinator, gives up on a host that does not answer, and then runs the task itself; the caller may resubmit.
  *
- * That a placer's runs end by the bound after what it was told is `confirmation-protocol.ts`; here a run simply does. Ages
- * are ticks of one real clock, told and judged as there. Processes and messages may be late without bound; of
- * several confirmations under way the model has the latest, which allows the most.
+ * `confirmation-protocol.ts` specifies that a run ends within the bound after its last confirmation; this model assumes it.
+ * Ages are ticks of one clock. Any process or message may be delayed without bound. Of several confirmations in flight, the
+ * model keeps the latest, which permits the most.
  */
 import type {Specification} from "./explore.js"
 
-/** A run ends that long after its confirmation. */
+/** A run ends this long after its last confirmation. */
 const BOUND_TICKS = 2
-/** A tick ends runs before anything else happens in it, so a caller that waits as long as the bound comes later. */
+/** Equal to the bound, because a tick ends runs before any other event in it. */
 const RESUBMIT_TICKS = BOUND_TICKS
-/** A sum that is too small for what it stands for. */
+/** The wait for the host without `waitFromSent`: shorter than the bound. */
 const SHORT_WAIT_TICKS = 1
-/** An age from which on a confirmation allows nothing. */
+/** A confirmation of this age permits nothing. */
 const STALE_TICKS = BOUND_TICKS
 
 type Run = "none" | "running" | "ended"
 
 export interface HandedOverState {
-	/** Ticks since the caller lost its connection; undefined while it waits. */
-	readonly brokenFor: number | undefined
-	/** A coordinator that has given the call up confirms it no more. */
+	/** Ticks since the caller lost its connection; undefined while the caller waits. */
+	readonly ticksSinceBreak: number | undefined
+	/** The coordinator confirms the call no more. */
 	readonly hasCoordinatorGivenUp: boolean
-	/** Age of the latest moment as of which the coordinator knows that it wanted the call. */
-	readonly wantedAge: number
-	/** The placer wants the task no more: it has read the cancel, or has answered with the end left open. */
+	/** Age of the latest moment at which the coordinator knows that the call was wanted. */
+	readonly coordinatorConfirmedAge: number
+	/** The placer has read the cancel, or has answered that the outcome is unknown. */
 	readonly isUnwanted: boolean
-	/** Age of the moment that the placer takes for the caller's confirmation. */
-	readonly heldAge: number
+	/** Age of the caller's confirmation at the placer. */
+	readonly placerConfirmedAge: number
 	readonly call: "unsent" | "under way" | "read"
-	/** Age of the moment that the host takes for the confirmation, or that the call under way tells. */
-	readonly hostAge: number
-	/** Ticks that are left of the bound that the call alone gave. */
-	readonly callLeft: number
-	/** Age of the moment that the confirmation to the host tells; undefined when none is under way. */
-	readonly passed: number | undefined
-	/** Ticks since the placer sent the host anything that confirms the task. */
-	readonly sentFor: number
-	/** Ticks since the placer gave the host up; undefined while it waits for its answer. */
-	readonly givenUpFor: number | undefined
+	/** Age of the confirmation at the host, or in the call message in flight. */
+	readonly hostConfirmedAge: number
+	/** Remaining ticks of the bound that the call itself gave. */
+	readonly callBoundLeft: number
+	/** Age of the confirmation in flight to the host; undefined without one. */
+	readonly confirmation: number | undefined
+	/** Ticks since the placer last sent the host a confirmation of the task. */
+	readonly ticksSinceSent: number
+	/** Ticks since the placer gave up on the host; undefined while the placer waits. */
+	readonly ticksSinceGivenUp: number | undefined
 	readonly hostRun: Run
 	readonly ownRun: Run
-	/** The caller has come back, and the task runs at a third placer. */
+	/** The caller has resubmitted the job, and the task runs at a third placer. */
 	readonly runsAgain: boolean
 }
 
 export interface HandedOverGuards {
-	/** What a placer passes on is the caller's confirmation, not its own wish. */
-	readonly passCallers: boolean
-	/** What is passed on is the confirmation of that call, not of the stream that it came on. */
-	readonly passOwnCalls: boolean
-	/** A call that arrives at the host is as old as what it tells. */
+	/** The placer forwards the age of the caller's confirmation, not a fresh one of its own. */
+	readonly forwardCallerConfirmation: boolean
+	/** The placer forwards the confirmation of that call, not of other calls on its stream. */
+	readonly forwardPerCall: boolean
+	/** A call that arrives at the host counts from the age it carries. */
 	readonly ageOfCall: boolean
-	/** A confirmation that arrives at the host is as old as what it tells. */
+	/** A confirmation that arrives at the host counts from the age it carries. */
 	readonly ageOfConfirmation: boolean
-	/** A host that was given up has had no confirmation for the bound before the task runs again. */
+	/** After giving up on the host, the placer runs the task only once the bound has passed since it last sent a confirmation. */
 	readonly waitFromSent: boolean
 }
 
 export const ALL_HANDED_OVER_GUARDS: HandedOverGuards = Object.freeze({
-	passCallers: true,
-	passOwnCalls: true,
+	forwardCallerConfirmation: true,
+	forwardPerCall: true,
 	ageOfCall: true,
 	ageOfConfirmation: true,
 	waitFromSent: true,
@@ -92,47 +91,60 @@
 type EventType = HandedOverEvent["type"]
 
 const INITIAL: HandedOverState = Object.freeze({
-	brokenFor: undefined,
+	ticksSinceBreak: undefined,
 	hasCoordinatorGivenUp: false,
-	wantedAge: 0,
+	coordinatorConfirmedAge: 0,
 	isUnwanted: false,
-	heldAge: 0,
+	placerConfirmedAge: 0,
 	call: "unsent",
-	hostAge: STALE_TICKS,
-	callLeft: 0,
-	passed: undefined,
-	sentFor: BOUND_TICKS,
-	givenUpFor: undefined,
+	hostConfirmedAge: STALE_TICKS,
+	callBoundLeft: 0,
+	confirmation: undefined,
+	ticksSinceSent: BOUND_TICKS,
+	ticksSinceGivenUp: undefined,
 	hostRun: "none",
 	ownRun: "none",
 	runsAgain: false,
 })
 
-/** What the placer tells the host of the caller. Others on the caller's stream are confirmed all the time. */
-function toldAge(state: HandedOverState, {passCallers, passOwnCalls}: HandedOverGuards): number {
-	const isOthers = state.isUnwanted && !passOwnCalls
-	return passCallers && !isOthers ? state.heldAge : 0
+/** Returns the age that the placer forwards to the host. Other calls on the caller's stream are always freshly confirmed. */
+function forwardedAge(
+	state: HandedOverState,
+	{forwardCallerConfirmation, forwardPerCall}: HandedOverGuards,
+): number {
+	const isOthers = state.isUnwanted && !forwardPerCall
+	return forwardCallerConfirmation && !isOthers ? state.placerConfirmedAge : 0
 }
 
-/** The coordinator answers its caller in the same moment, which is the earliest. */
+/** The coordinator answers its caller at once, the earliest possible moment. */
 function answerOpen(state: HandedOverState): HandedOverState {
-	const brokenFor = state.brokenFor ?? 0
-	return {...state, brokenFor, hasCoordinatorGivenUp: true, isUnwanted: true}
+	const ticksSinceBreak = state.ticksSinceBreak ?? 0
+	return {...state, ticksSinceBreak, hasCoordinatorGivenUp: true, isUnwanted: true}
 }
 
 function readConnections(state: HandedOverState): HandedOverState {
-	if (state.brokenFor !== undefined) return {...state, hasCoordinatorGivenUp: true}
-	return {...state, wantedAge: 0}
+	if (state.ticksSinceBreak !== undefined) return {...state, hasCoordinatorGivenUp: true}
+	return {...state, coordinatorConfirmedAge: 0}
 }
 
 function sendCall(state: HandedOverState, guards: HandedOverGuards): HandedOverState {
-	const hostAge = toldAge(state, guards)
-	return {...state, call: "under way", hostAge, callLeft: BOUND_TICKS - hostAge, sentFor: 0}
+	const hostConfirmedAge = forwardedAge(state, guards)
+	return {
+		...state,
+		call: "under way",
+		hostConfirmedAge,
+		callBoundLeft: BOUND_TICKS - hostConfirmedAge,
+		ticksSinceSent: 0,
+	}
 }
 
-function readPassed(state: HandedOverState, guards: HandedOverGuards): HandedOverState {
-	const age = guards.ageOfConfirmation ? (state.passed ?? STALE_TICKS) : 0
-	return {...state, passed: undefined, hostAge: Math.min(state.hostAge, age)}
+function readConfirmation(state: HandedOverState, guards: HandedOverGuards): HandedOverState {
+	const age = guards.ageOfConfirmation ? (state.confirmation ?? STALE_TICKS) : 0
+	return {
+		...state,
+		confirmation: undefined,
+		hostConfirmedAge: Math.min(state.hostConfirmedAge, age),
+	}
 }
 
 const older = (age: number) => Math.min(STALE_TICKS, age + 1)
@@ -141,20 +153,20 @@
 	run === "running" && age >= STALE_TICKS ? "ended" : run
 
 function tick(state: HandedOverState): HandedOverState {
-	const heldAge = older(state.heldAge)
-	const hostAge = older(state.hostAge)
+	const placerConfirmedAge = older(state.placerConfirmedAge)
+	const hostConfirmedAge = older(state.hostConfirmedAge)
 	return {
 		...state,
-		brokenFor: olderIfAny(state.brokenFor),
-		wantedAge: older(state.wantedAge),
-		heldAge,
-		hostAge,
-		callLeft: Math.max(0, state.callLeft - 1),
-		passed: olderIfAny(state.passed),
-		sentFor: older(state.sentFor),
-		givenUpFor: olderIfAny(state.givenUpFor),
-		hostRun: endIfStale(state.hostRun, hostAge),
-		ownRun: endIfStale(state.ownRun, heldAge),
+		ticksSinceBreak: olderIfAny(state.ticksSinceBreak),
+		coordinatorConfirmedAge: older(state.coordinatorConfirmedAge),
+		placerConfirmedAge,
+		hostConfirmedAge,
+		callBoundLeft: Math.max(0, state.callBoundLeft - 1),
+		confirmation: olderIfAny(state.confirmation),
+		ticksSinceSent: older(state.ticksSinceSent),
+		ticksSinceGivenUp: olderIfAny(state.ticksSinceGivenUp),
+		hostRun: endIfStale(state.hostRun, hostConfirmedAge),
+		ownRun: endIfStale(state.ownRun, placerConfirmedAge),
 	}
 }
 
@@ -167,11 +179,14 @@
 		case "connections read":
 			return readConnections(state)
 		case "connection breaks":
-			return {...state, brokenFor: 0}
+			return {...state, ticksSinceBreak: 0}
 		case "coordinator dies":
-			return {...state, brokenFor: state.brokenFor ?? 0, hasCoordinatorGivenUp: true}
+			return {...state, ticksSinceBreak: state.ticksSinceBreak ?? 0, hasCoordinatorGivenUp: true}
 		case "confirmation read":
-			return {...state, heldAge: Math.min(state.heldAge, state.wantedAge)}
+			return {
+				...state,
+				placerConfirmedAge: Math.min(state.placerConfirmedAge, state.coordinatorConfirmedAge),
+			}
 		case "cancel read":
 			return {...state, isUnwanted: true}
 		case "placer answers open":
@@ -179,17 +194,21 @@
 		case "call sent":
 			return sendCall(state, guards)
 		case "call read":
-			return {...state, call: "read", hostAge: guards.ageOfCall ? state.hostAge : 0}
+			return {
+				...state,
+				call: "read",
+				hostConfirmedAge: guards.ageOfCall ? state.hostConfirmedAge : 0,
+			}
 		case "confirmation passed on":
-			return {...state, passed: toldAge(state, guards), sentFor: 0}
+			return {...state, confirmation: forwardedAge(state, guards), ticksSinceSent: 0}
 		case "confirmation passed on read":
-			return readPassed(state, guards)
+			return readConfirmation(state, guards)
 		case "host starts":
 			return {...state, hostRun: "running"}
 		case "host's run stops":
 			return {...state, hostRun: "ended"}
 		case "host given up":
-			return {...state, givenUpFor: 0}
+			return {...state, ticksSinceGivenUp: 0}
 		case "placer runs it again":
 			return {...state, ownRun: "running"}
 		case "caller comes back":
@@ -199,47 +218,54 @@
 	}
 }
 
-/** Whether the placer takes the host's run as ended, by its answer or by the time that has passed. */
-function isTakenAsEnded(state: HandedOverState, guards: HandedOverGuards): boolean {
+/** Whether the placer considers the host's run ended, by the host's answer or by elapsed time. */
+function isHostRunOver(state: HandedOverState, guards: HandedOverGuards): boolean {
 	if (state.hostRun === "ended") return true
-	if (state.givenUpFor === undefined) return false
-	if (guards.waitFromSent) return state.sentFor >= BOUND_TICKS
-	return state.givenUpFor >= SHORT_WAIT_TICKS
+	if (state.ticksSinceGivenUp === undefined) return false
+	if (guards.waitFromSent) return state.ticksSinceSent >= BOUND_TICKS
+	return state.ticksSinceGivenUp >= SHORT_WAIT_TICKS
 }
 
 function mayRunAgain(state: HandedOverState, guards: HandedOverGuards): boolean {
-	const isWanted = !state.isUnwanted && state.heldAge < STALE_TICKS
-	return isWanted && state.ownRun === "none" && isTakenAsEnded(state, guards)
+	const isWanted = !state.isUnwanted && state.placerConfirmedAge < STALE_TICKS
+	return isWanted && state.ownRun === "none" && isHostRunOver(state, guards)
 }
 
 function enabled(state: HandedOverState, guards: HandedOverGuards): readonly HandedOverEvent[] {
-	const {brokenFor, call, hostRun, isUnwanted, givenUpFor} = state
+	const {ticksSinceBreak, call, hostRun, isUnwanted, ticksSinceGivenUp} = state
 	const isConfirming = !state.hasCoordinatorGivenUp
-	const isWithHost = call !== "unsent" && givenUpFor === undefined && hostRun !== "ended"
-	const isFresh = state.heldAge < STALE_TICKS
-	const isNews = toldAge(state, guards) < Math.min(state.hostAge, state.passed ?? STALE_TICKS)
+	const isHostInvolved = call !== "unsent" && ticksSinceGivenUp === undefined && hostRun !== "ended"
+	const isFresh = state.placerConfirmedAge < STALE_TICKS
+	const isNewer =
+		forwardedAge(state, guards) <
+		Math.min(state.hostConfirmedAge, state.confirmation ?? STALE_TICKS)
 	const rules: readonly (readonly [EventType, boolean])[] = [
-		["connections read", isConfirming && (state.wantedAge > 0 || brokenFor !== undefined)],
-		["connection breaks", brokenFor === undefined],
+		[
+			"connections read",
+			isConfirming && (state.coordinatorConfirmedAge > 0 || ticksSinceBreak !== undefined),
+		],
+		["connection breaks", ticksSinceBreak === undefined],
 		["coordinator dies", isConfirming],
-		["confirmation read", !isUnwanted && state.wantedAge < state.heldAge],
+		["confirmation read", !isUnwanted && state.coordinatorConfirmedAge < state.placerConfirmedAge],
 		["cancel read", !isConfirming && !isUnwanted],
 		["placer answers open", isConfirming && !isUnwanted],
 		["call sent", call === "unsent" && !isUnwanted && isFresh],
 		["call read", call === "under way"],
-		["confirmation passed on", isWithHost && isNews && (!isUnwanted || !guards.passOwnCalls)],
-		["confirmation passed on read", call === "read" && state.passed !== undefined],
-		["host starts", call === "read" && hostRun === "none" && state.hostAge < STALE_TICKS],
+		[
+			"confirmation passed on",
+			isHostInvolved && isNewer && (!isUnwanted || !guards.forwardPerCall),
+		],
+		["confirmation passed on read", call === "read" && state.confirmation !== undefined],
+		["host starts", call === "read" && hostRun === "none" && state.hostConfirmedAge < STALE_TICKS],
 		["host's run stops", hostRun === "running"],
-		["host given up", isWithHost],
+		["host given up", isHostInvolved],
 		["placer runs it again", mayRunAgain(state, guards)],
-		["caller comes back", !state.runsAgain && brokenFor === RESUBMIT_TICKS],
+		["caller comes back", !state.runsAgain && ticksSinceBreak === RESUBMIT_TICKS],
 		["tick", true],
 	]
 	return rules.filter(([, isEnabled]) => isEnabled).map(([type]) => ({type}))
 }
 
-/** Says which two runs of the task there are at once. */
 function violation({hostRun, ownRun, runsAgain}: HandedOverState): string | undefined {
 	const running = [hostRun === "running", ownRun === "running", runsAgain].filter(Boolean)
 	return running.length > 1 ? "a task ran twice at once" : undefined
--- a/packages/spec/src/owner-protocol.ts
+++ b/packages/spec/src/owner-protocol.ts
@@ -1,37 +1,36 @@
 /**
- * The owner's protocol for one key: session `a` owns the shard; session `b` takes over when `a`'s
- * lease lapses, which may happen while `a` still runs. The store takes a write once, late, or not
- * at all, and loses answers. A pause needs no event of its own: a session that takes no step is
- * paused. Names follow the core: journal, seal, intent, closed, inherited.
+ * Shard ownership for one key: session `a` owns the shard; session `b` takes over when `a`'s lease
+ * expires, which may happen while `a` still runs. The store applies a write once, late, or not at
+ * all, and may lose its answer. A session that takes no step is paused.
  */
 import type {Specification} from "./explore.js"
 
 export type Session = "a" | "b"
 export type Entry = "none" | "pending" | "closing" | "parked" | "running" | "closed" | "inherited"
 export type RecordType = "intent" | "closed"
-export type Value = RecordType | "seal"
+export type JournalValue = RecordType | "seal"
 
-export interface Side {
+export interface SessionState {
 	readonly alive: boolean
 	readonly owns: boolean
 	readonly entry: Entry
-	/** The record whose write has no definite answer yet. */
+	/** The record whose write is unconfirmed. */
 	readonly writing: RecordType | "none"
-	/** Its message on the way to the store. */
+	/** The write is in flight to the store. */
 	readonly message: boolean
-	/** The answer on the way back. */
+	/** The store's answer in flight. */
 	readonly answer: "none" | "created" | "own" | "sealed"
-	/** Copies of the submission that wait here. */
+	/** Copies of the submission that wait at this session. */
 	readonly waiting: readonly number[]
 }
 
 export interface OwnerState {
-	readonly a: Side
-	readonly b: Side
-	/** The values of each session's journal, in order. */
-	readonly journalA: readonly Value[]
-	readonly journalB: readonly Value[]
-	/** How far the successor's takeover is; a number is the length that it listed. */
+	readonly a: SessionState
+	readonly b: SessionState
+	/** Each session's journal, in order. */
+	readonly journalA: readonly JournalValue[]
+	readonly journalB: readonly JournalValue[]
+	/** Progress of the successor's takeover; a number is the journal length that the successor listed. */
 	readonly takeover: "idle" | "sealed" | "done" | number
 	/** Where each copy of the submission is. */
 	readonly copies: readonly ("caller" | Session | "held" | "not run" | "unknown" | "value")[]
@@ -39,19 +38,19 @@
 }
 
 export interface OwnerGuards {
-	/** The successor seals the journal before it serves. */
+	/** The successor seals the journal before serving. */
 	readonly seal: boolean
 	/** Work starts only after its intent is durable. */
 	readonly intentFirst: boolean
-	/** A write without an answer is asked again, never taken as done. */
+	/** A write without an answer is repeated, never assumed to have succeeded. */
 	readonly readBack: boolean
-	/** A `not run` is answered only after the closing is durable. */
+	/** `not run` is answered only after the `closed` record is durable. */
 	readonly closeFirst: boolean
-	/** What the sealed journal lists is not started again. */
+	/** Work in the sealed journal is not started again. */
 	readonly inherit: boolean
 }
 
-export const ALL_GUARDS: OwnerGuards = Object.freeze({
+export const ALL_OWNER_GUARDS: OwnerGuards = Object.freeze({
 	seal: true,
 	intentFirst: true,
 	readBack: true,
@@ -72,7 +71,7 @@
 	| {readonly type: "seal"}
 	| {readonly type: "serve"}
 
-const NEW_SIDE = Object.freeze<Side>({
+const NEW_SESSION_STATE = Object.freeze<SessionState>({
 	alive: true,
 	owns: false,
 	entry: "none",
@@ -83,8 +82,8 @@
 })
 
 export const OWNER_INITIAL = Object.freeze<OwnerState>({
-	a: {...NEW_SIDE, owns: true},
-	b: NEW_SIDE,
+	a: {...NEW_SESSION_STATE, owns: true},
+	b: NEW_SESSION_STATE,
 	journalA: [],
 	journalB: [],
 	takeover: "idle",
@@ -92,7 +91,11 @@
 	starts: 0,
 })
 
-function withSide(state: OwnerState, session: Session, change: Partial<Side>): OwnerState {
+function withSession(
+	state: OwnerState,
+	session: Session,
+	change: Partial<SessionState>,
+): OwnerState {
 	return {...state, [session]: {...state[session], ...change}}
 }
 
@@ -104,24 +107,23 @@
 	return {...state, copies: state.copies.map((old, i) => (copies.includes(i) ? where : old))}
 }
 
-/** Answers all copies that wait at a session. */
 function answerAll(state: OwnerState, session: Session, answer: "not run" | "unknown" | "value") {
 	const answered = withCopies(state, state[session].waiting, answer)
-	return withSide(answered, session, {waiting: []})
+	return withSession(answered, session, {waiting: []})
 }
 
 function start(state: OwnerState, session: Session): OwnerState {
-	const started = {...withSide(state, session, {entry: "running"}), starts: state.starts + 1}
+	const started = {...withSession(state, session, {entry: "running"}), starts: state.starts + 1}
 	return answerAll(started, session, "value")
 }
 
 function write(state: OwnerState, session: Session, record: RecordType): OwnerState {
-	return withSide(state, session, {writing: record, message: true, answer: "none"})
+	return withSession(state, session, {writing: record, message: true, answer: "none"})
 }
 
 function hold(state: OwnerState, session: Session, copy: number): OwnerState {
 	const held = withCopies(state, [copy], "held")
-	return withSide(held, session, {waiting: [...held[session].waiting, copy]})
+	return withSession(held, session, {waiting: [...held[session].waiting, copy]})
 }
 
 function arrive(state: OwnerState, copy: number, admit: boolean, guards: OwnerGuards): OwnerState {
@@ -147,28 +149,28 @@
 
 function accept(state: OwnerState, session: Session, copy: number, guards: OwnerGuards) {
 	const held = hold(state, session, copy)
-	const pending = write(withSide(held, session, {entry: "pending"}), session, "intent")
+	const pending = write(withSession(held, session, {entry: "pending"}), session, "intent")
 	return guards.intentFirst ? pending : start(pending, session)
 }
 
 function refuse(state: OwnerState, session: Session, copy: number, guards: OwnerGuards) {
 	const held = hold(state, session, copy)
-	const closing = write(withSide(held, session, {entry: "closing"}), session, "closed")
+	const closing = write(withSession(held, session, {entry: "closing"}), session, "closed")
 	if (guards.closeFirst) return closing
-	return answerAll(withSide(closing, session, {entry: "closed"}), session, "not run")
+	return answerAll(withSession(closing, session, {entry: "closed"}), session, "not run")
 }
 
-function journalOf(state: OwnerState, session: Session): readonly Value[] {
+function journalOf(state: OwnerState, session: Session): readonly JournalValue[] {
 	return session === "a" ? state.journalA : state.journalB
 }
 
-/** One key has at most one record of a kind per session, so the record itself is the nonce. */
+/** One key has at most one record of a type per session, so the record itself identifies the write. */
 function storeTakes(state: OwnerState, session: Session, answers: boolean): OwnerState {
 	const journal = journalOf(state, session)
 	const record = state[session].writing as RecordType
 	const isOwn = journal.includes(record)
 	const isSealed = !isOwn && journal.includes("seal")
-	const taken = withSide(state, session, {
+	const taken = withSession(state, session, {
 		message: false,
 		answer: !answers ? "none" : isOwn ? "own" : isSealed ? "sealed" : "created",
 	})
@@ -179,26 +181,26 @@
 
 function becomeDurable(state: OwnerState, session: Session): OwnerState {
 	const side = state[session]
-	const settled = withSide(state, session, {writing: "none", message: false, answer: "none"})
+	const settled = withSession(state, session, {writing: "none", message: false, answer: "none"})
 	if (side.entry === "closing") {
-		return answerAll(withSide(settled, session, {entry: "closed"}), session, "not run")
+		return answerAll(withSession(settled, session, {entry: "closed"}), session, "not run")
 	}
 	if (side.entry !== "pending") return settled
 	if (side.waiting.length > 0) return start(settled, session)
-	// Nobody waits any more: the intent stands in the journal, and the work waits for a copy.
-	return withSide(settled, session, {entry: "parked"})
+	// No copy waits: the intent stays in the journal, and the work starts with the next copy.
+	return withSession(settled, session, {entry: "parked"})
 }
 
 function answerArrives(state: OwnerState, session: Session): OwnerState {
 	const {answer} = state[session]
 	if (answer !== "sealed") return becomeDurable(state, session)
 	const lost = answerAll(state, session, "unknown")
-	return withSide(lost, session, {writing: "none", answer: "none", entry: "none", owns: false})
+	return withSession(lost, session, {writing: "none", answer: "none", entry: "none", owns: false})
 }
 
 function timeout(state: OwnerState, session: Session, guards: OwnerGuards): OwnerState {
 	if (!guards.readBack) return becomeDurable(state, session)
-	return withSide(state, session, {message: true})
+	return withSession(state, session, {message: true})
 }
 
 function serve(state: OwnerState, guards: OwnerGuards): OwnerState {
@@ -208,7 +210,7 @@
 		: listed.includes("intent")
 			? "inherited"
 			: "none"
-	const served = withSide(state, "b", {owns: true, entry: guards.inherit ? entry : "none"})
+	const served = withSession(state, "b", {owns: true, entry: guards.inherit ? entry : "none"})
 	return {...served, takeover: "done"}
 }
 
@@ -221,7 +223,7 @@
 		case "storeTakes":
 			return storeTakes(state, event.session, event.answers)
 		case "storeDrops":
-			return withSide(state, event.session, {message: false})
+			return withSession(state, event.session, {message: false})
 		case "answerArrives":
 			return answerArrives(state, event.session)
 		case "timeout":
@@ -229,7 +231,7 @@
 		case "giveUp":
 			return answerAll(state, event.session, "unknown")
 		case "crash":
-			return withSide(answerAll(state, event.session, "unknown"), event.session, {
+			return withSession(answerAll(state, event.session, "unknown"), event.session, {
 				alive: false,
 				owns: false,
 				answer: "none",
@@ -246,7 +248,7 @@
 	}
 }
 
-function eventsOfSide(state: OwnerState, session: Session): readonly OwnerEvent[] {
+function sessionEvents(state: OwnerState, session: Session): readonly OwnerEvent[] {
 	const side = state[session]
 	const events: OwnerEvent[] = []
 	if (side.message) {
@@ -256,15 +258,15 @@
 	}
 	if (!side.alive) return events
 	if (side.answer !== "none") events.push({type: "answerArrives", session})
-	const isSilent = side.writing !== "none" && !side.message && side.answer === "none"
-	if (isSilent) events.push({type: "timeout", session})
+	const isUnanswered = side.writing !== "none" && !side.message && side.answer === "none"
+	if (isUnanswered) events.push({type: "timeout", session})
 	if (side.waiting.length > 0) events.push({type: "giveUp", session})
 	if (side.owns) events.push({type: "crash", session})
 	return events
 }
 
 function enabled(state: OwnerState): readonly OwnerEvent[] {
-	const events: OwnerEvent[] = [...eventsOfSide(state, "a"), ...eventsOfSide(state, "b")]
+	const events: OwnerEvent[] = [...sessionEvents(state, "a"), ...sessionEvents(state, "b")]
 	state.copies.forEach((where, copy) => {
 		if (where === "caller") {
 			events.push({type: "send", copy, to: "a"}, {type: "send", copy, to: "b"})
@@ -287,9 +289,9 @@
 	return undefined
 }
 
-/** The specification with some guards off, so that the checker can be seen to fail. */
+/** Violated by a second start, or by a start after `not run` was answered. */
 export function ownerProtocol(
-	guards: OwnerGuards = ALL_GUARDS,
+	guards: OwnerGuards = ALL_OWNER_GUARDS,
 ): Specification<OwnerState, OwnerEvent> {
 	return {
 		initial: OWNER_INITIAL,
--- a/packages/spec/test/confirmation.test.ts
+++ b/packages/spec/test/confirmation.test.ts
@@ -10,18 +10,18 @@
 import {expect} from "chai"
 
 const TWICE = "a task ran twice at once"
-const LONGER = "a run goes on beyond its first lease"
+const LONGER = "a run outlasts its first lease"
 const AGAIN = "the task runs again"
 
 function holds<State, Event extends {readonly type: string}>(spec: Specification<State, Event>) {
-	it("with all guards: no order of events breaks the invariant", () => {
+	it("with all guards: no order of events violates the invariant", () => {
 		const {states, violation} = explore(spec)
 		console.log(`        ${states} states`)
 		expect(violation).to.equal(undefined)
 	})
 }
 
-/** A shortest row of events to a state that breaks the invariant has that many of them. */
+/** A shortest sequence of events to a violation has `length` events. */
 function breaks<State, Event extends {readonly type: string}>(
 	guard: string,
 	spec: Specification<State, Event>,
@@ -35,7 +35,7 @@
 	})
 }
 
-/** With all guards there are states of each of these kinds, so the guards don't hold by forbidding everything. */
+/** Guards that forbid every run would hold the invariant too, so states of each kind must be reachable. */
 function reaches<State, Event extends {readonly type: string}>(
 	spec: Specification<State, Event>,
 	kinds: Readonly<Record<string, (state: State) => boolean>>,
@@ -59,57 +59,57 @@
 		boundByOldest: 11,
 		ageOfCall: 9,
 		ageOfConfirmation: 11,
-		lookBeforeStart: 11,
-		presumeLease: 12,
-		presumeAtFence: 12,
+		checkLeaseBeforeStart: 11,
+		assumeLongestLease: 12,
+		assumeLeaseFromFence: 12,
 		renewNoOrphans: 12,
-		keepCancelled: 13,
-		ownStream: 10,
+		cancelIsFinal: 13,
+		confirmOwnStreamOnly: 10,
 		absoluteEnd: 11,
-		breakIsSeen: 9,
-		comeBackLate: 8,
+		detectBreak: 9,
+		resubmitAfterBound: 8,
 		countSuspension: 11,
 	} as const
 	for (const guard of Object.keys(lengths) as (keyof typeof lengths)[])
 		breaks(guard, without(guard), lengths[guard])
 })
 
-describe("specification of confirmed runs whose coordinator places them anew", () => {
+describe("specification of confirmed runs whose coordinator reschedules them", () => {
 	const rules = {...ALL_CONFIRMATION_GUARDS, placesAnew: true}
 	const without = (guard: keyof typeof ALL_CONFIRMATION_GUARDS) =>
 		confirmationProtocol({...rules, [guard]: false})
 	holds(confirmationProtocol(rules))
 	reaches(confirmationProtocol(rules), {
-		"its coordinator places it anew": ({runsAgain, brokenFor}) =>
-			runsAgain && brokenFor === undefined,
+		"its coordinator reschedules it": ({runsAgain, ticksSinceBreak}) =>
+			runsAgain && ticksSinceBreak === undefined,
 	})
 	const lengths = {
 		boundByOldest: 10,
 		ageOfCall: 8,
 		ageOfConfirmation: 10,
-		lookBeforeStart: 10,
-		presumeLease: 11,
-		presumeAtFence: 11,
+		checkLeaseBeforeStart: 10,
+		assumeLongestLease: 11,
+		assumeLeaseFromFence: 11,
 		renewNoOrphans: 11,
-		ownStream: 9,
-		placeAnewLate: 7,
+		confirmOwnStreamOnly: 9,
+		rescheduleAfterBound: 7,
 	} as const
 	for (const guard of Object.keys(lengths) as (keyof typeof lengths)[])
 		breaks(guard, without(guard), lengths[guard])
 })
 
-describe("specification of a task that was handed to another domain", () => {
+describe("specification of a task handed over to another failure domain", () => {
 	const without = (guard: keyof typeof ALL_HANDED_OVER_GUARDS) =>
 		handedOverProtocol({...ALL_HANDED_OVER_GUARDS, [guard]: false})
 	holds(handedOverProtocol())
 	reaches(handedOverProtocol(), {
 		[AGAIN]: ({runsAgain}) => runsAgain,
 		"its placer runs it again": ({ownRun}) => ownRun === "running",
-		[LONGER]: ({hostRun, callLeft}) => hostRun === "running" && callLeft === 0,
+		[LONGER]: ({hostRun, callBoundLeft}) => hostRun === "running" && callBoundLeft === 0,
 	})
 	const lengths = {
-		passCallers: 7,
-		passOwnCalls: 9,
+		forwardCallerConfirmation: 7,
+		forwardPerCall: 9,
 		ageOfCall: 7,
 		ageOfConfirmation: 12,
 		waitFromSent: 6,
