--- a/packages/entry/src/dispatch/find.ts
+++ b/packages/entry/src/dispatch/find.ts
@@ -1,5 +1,5 @@
 /**
- * What an owner here knows of a submission, for callers and for peers alike.
+ * Looks up submissions that this instance owns, for the router and the peer server.
  */
 import {
 	DispatchError,
@@ -15,7 +15,7 @@
 	| {readonly type: "running"}
 	| {readonly type: "unknown key"}
 
-/** Waits up to `waitMs` milliseconds for the outcome of a submission that is owned here. */
+/** Returns the outcome, or `running` when there is none within `waitMs` milliseconds. */
 export async function findHere(
 	owner: Owner,
 	clock: Clock,
--- a/packages/entry/src/dispatch/forwarding.ts
+++ b/packages/entry/src/dispatch/forwarding.ts
@@ -1,5 +1,5 @@
 /**
- * Attempts that are handed to a peer: the batch goes out as one call, events stream back.
+ * Forwards attempts to a peer for the scheduler: one streaming call per batch, one event per attempt.
  */
 import type {Attempt, AttemptResult, Clock} from "@cottonwood/core"
 import type {RunEvent__Output} from "@cottonwood/wire"
@@ -16,13 +16,13 @@
 
 const CALL_SLACK_MS = 1_000
 
-/** Sends attempts to a peer; each is settled once, as unknown when the stream breaks. */
+/** Sends attempts to a peer and settles each once, as `unknown` when the stream breaks. */
 export function forwardAttempts(deps: ForwardDeps, instance: string, attempts: readonly Attempt[]) {
 	const peer = deps.peers.byInstance(instance)
 	const open = new Set(attempts.map(attempt => attempt.id))
 	if (!peer) {
 		for (const id of open) {
-			deps.settle(id, {type: "not started", reason: "refused", detail: `${instance} is gone`})
+			deps.settle(id, {type: "not started", reason: "refused", detail: `no peer ${instance}`})
 		}
 		return
 	}
@@ -44,5 +44,5 @@
 		deps.settle(event.id, fromRunEvent(event))
 	})
 	call.on("error", error => settleRest(`${instance}: ${error.message}`))
-	call.on("end", () => settleRest(`${instance} ended the stream early`))
+	call.on("end", () => settleRest(`${instance} closed the stream without an answer`))
 }
--- a/packages/entry/src/dispatch/plans.ts
+++ b/packages/entry/src/dispatch/plans.ts
@@ -1,6 +1,6 @@
 /**
- * From a submission to the plans of its tasks, and the checks that need the whole fleet's view:
- * whether an endpoint exists, and whether any worker can ever run a task.
+ * Turns a submission into task plans, and checks against the listed targets whether these can run.
+ * Used at admission and at execution.
  */
 import {
 	endpointPool,
@@ -25,11 +25,12 @@
 
 const SLOT: Resources = Object.freeze({cpu: 1, memoryMb: 0, accelerators: 0})
 
-/** Parsed selectors, since few texts recur in many tasks. */
+/** Cache of parsed selectors by text; cleared when it holds `MAX_PARSED`. */
 const parsed = new Map<string, Selector>()
 const texts = new WeakMap<Selector, string>()
 const MAX_PARSED = 1_000
 
+/** Returns the parsed selector; invalid text gives an empty one. */
 export function selectorOf(text: string): Selector {
 	let selector = parsed.get(text)
 	if (!selector) {
@@ -41,7 +42,7 @@
 	return selector
 }
 
-/** Returns the text that a selector of a plan was made from, for a peer to parse again. */
+/** Returns the text of a selector from `selectorOf`, or an empty text for any other selector. */
 export function textOf(selector: Selector): string {
 	return texts.get(selector) ?? ""
 }
@@ -75,7 +76,7 @@
 	}
 }
 
-/** Returns one plan per task; a request has one. */
+/** Returns one plan per task of a job, or a single plan for a request. */
 export function planSubmission(
 	submission: Submission,
 	config: Config,
@@ -112,7 +113,7 @@
 	return fail("no_capacity", detail, {retryAfterMs: addJitterMs(COME_BACK_MS, Math.random)})
 }
 
-/** Refuses a task that no listed worker could ever run. */
+/** Fails when no listed worker can run the task now (`no_capacity`) or ever (`cannot_run`). */
 function checkTask(
 	plan: TaskPlan,
 	index: number,
@@ -124,7 +125,7 @@
 		return fail("cannot_run", `task ${index}: no worker matches its selector`)
 	}
 	if (!matching.some(worker => worker.state === "live"))
-		return noCapacity(`task ${index}: every worker that matches is leaving`)
+		return noCapacity(`task ${index}: all matching workers are leaving`)
 	if (matching.some(worker => isLargeEnough(worker, plan.need))) return ok(undefined)
 	const {cpu, memoryMb, accelerators} = plan.need
 	const need = `${cpu} processors, ${memoryMb} MiB, ${accelerators} accelerators`
@@ -141,7 +142,7 @@
 	return isServed ? ok(undefined) : noCapacity("no live executor of the endpoint is listed")
 }
 
-/** Refuses at once what no listed target could run now or ever. */
+/** Fails when a plan has no listed target; tasks of the same shape are checked once. */
 export function checkCanRun(
 	plans: readonly TaskPlan[],
 	targets: readonly Target[],
--- a/packages/entry/src/dispatch/router.ts
+++ b/packages/entry/src/dispatch/router.ts
@@ -1,7 +1,6 @@
 /**
- * The way of a submission through the fleet: repeatable requests run here at once; everything else
- * goes to the owner of its shard, here or at a peer. Offering a submission again is safe, since an
- * owner joins a key that it knows.
+ * Routes submissions: repeatable requests run on this instance, everything else goes to the owner of
+ * its shard. Submitting again is safe, since an owner joins submissions with the same key.
  */
 import {
 	backoffMs,
@@ -27,9 +26,11 @@
 import type {Metrics} from "../utils/metrics.js"
 
 export interface Router {
+	/** Retries while the shard's owner changes or is unreachable. */
 	submit(submission: Submission): Promise<Outcome>
-	/** Returns the outcome, or undefined when nobody knows the key or it is not finished in time. */
+	/** Returns the outcome, or `running` when there is none within `waitMs` milliseconds. */
 	find(key: SubmissionKey, waitMs: number): Promise<FindResult>
+	/** Returns undefined when the key is unknown or its owner does not answer. */
 	cancel(key: SubmissionKey): Promise<Outcome | undefined>
 }
 
@@ -52,13 +53,13 @@
 const RETRY_CAP_MS = 500
 const COME_BACK_MS = 1_000
 const CALL_SLACK_MS = 500
-/** Without the store for this long no failover can happen, so waiting for one is pointless. */
+/** Retries end after this long without the store, since ownership cannot change without it. */
 const STORE_SILENCE_MS = 3_000
 
 type Place =
 	{readonly type: "here"} | {readonly type: "peer"; readonly peer: Peer} | {readonly type: "none"}
 
-/** Sends a submission to a peer; undefined when no answer came back. */
+/** Sends a submission to a peer; returns undefined when no answer arrives. */
 function callSubmit(peer: Peer, submission: Submission, remainingMs: number) {
 	const {key, digest, team, repeatable} = submission.head
 	const body = submission.type === "job" ? submission.job : submission.request
@@ -117,11 +118,11 @@
 		const remainingMs = submission.head.deadlineAt - clock.now()
 		const outcome = await callSubmit(place.peer, submission, remainingMs)
 		if (outcome) return outcome
-		const detail = `${place.peer.instance} gave no answer`
+		const detail = `${place.peer.instance} did not answer`
 		return outcomeOf(new DispatchError("owner_unreachable", detail))
 	}
 
-	/** Whether another offer may find an owner that can decide. */
+	/** Whether a retry may reach an owner that can decide. */
 	function isWorthRetrying(outcome: Outcome): boolean {
 		if (outcome.ok) return false
 		return outcome.kind === "moved" || outcome.kind === "owner_unreachable"
@@ -167,7 +168,7 @@
 			if (place.type !== "peer") return findHere(deps.owner(), clock, key, waitMs)
 			const found = await callFind(place.peer, key, waitMs)
 			if (found) return found
-			const error = new DispatchError("owner_unreachable", `${place.peer.instance} gave no answer`)
+			const error = new DispatchError("owner_unreachable", `${place.peer.instance} did not answer`)
 			return {type: "outcome", outcome: giveUp(outcomeOf(error))}
 		},
 		async cancel(key) {
--- a/packages/entry/src/dispatch/targets.ts
+++ b/packages/entry/src/dispatch/targets.ts
@@ -1,5 +1,5 @@
 /**
- * The targets of the fleet as this instance sees them, and which of them it places itself.
+ * Tracks the fleet's listed targets and gives the scheduler those that this instance places.
  */
 import {assignEvenly, poolOf, type Clock, type Scheduler, type Target} from "@cottonwood/core"
 import type {InstanceList, InstanceListing, ListedEntry} from "../platform/instance-list.js"
@@ -11,8 +11,9 @@
 	stop(): void
 	/** All listed targets of all failure domains. */
 	all(): readonly Target[]
-	/** Computes anew which targets are placed here, and how; called when the members or the configuration changed. */
+	/** Recomputes which targets this instance places; to be called when peers or configuration change. */
 	assign(): void
+	/** Returns the name of the instance that places the target. */
 	placerOf(target: Target): string | undefined
 }
 
@@ -25,7 +26,7 @@
 	readonly metrics: Metrics
 	readonly everyMs: number
 	readonly isDraining: () => boolean
-	/** Whether operators are emptying a failure domain. */
+	/** Whether operators have evacuated a failure domain. */
 	readonly isEvacuated: (failureDomain: string) => boolean
 	readonly livePeersIn: (failureDomain: string) => readonly string[]
 	readonly livePeers: () => readonly string[]
@@ -34,7 +35,7 @@
 	readonly onEntries: (entries: readonly ListedEntry[]) => void
 }
 
-/** A target that leaves the list is kept this long, since lists lag and readings fail. */
+/** Targets stay for this long after they leave the list, since lists lag. */
 const GONE_MS = 10_000
 
 export function createTargetBoard(deps: TargetBoardDeps): TargetBoard {
@@ -45,7 +46,7 @@
 	let placers: ReadonlyMap<string, string> = new Map()
 	let isStopped = false
 
-	/** The live instances that may place targets of a failure domain. */
+	/** Returns the live instances that may place targets of a failure domain, preferring its own. */
 	function placersFor(failureDomain: string): readonly string[] {
 		const isOwn = failureDomain === deps.failureDomain
 		const self = deps.isDraining() ? [] : [deps.instance]
@@ -53,7 +54,7 @@
 		return near.length > 0 ? near : [...deps.livePeers(), ...self]
 	}
 
-	/** A target of a domain that is emptied counts as leaving: what runs there ends in peace, and nothing new comes. */
+	/** Marks targets of an evacuated domain as leaving: running tasks finish, new ones go elsewhere. */
 	function asUsed(target: Target): Target {
 		return deps.isEvacuated(target.failureDomain) ? {...target, state: "leaving"} : target
 	}
@@ -81,7 +82,6 @@
 		deps.metrics.gauge("targets.placed", mine.length)
 	}
 
-	/** Keeps a target for a while after it left the list, since lists lag. */
 	function take(listing: InstanceListing) {
 		const now = clock.now()
 		const next = new Map(listing.targets.map(target => [target.id, {target, seenAt: now}]))
@@ -96,7 +96,7 @@
 		assign()
 	}
 
-	/** An unchanged list renews what it names; it is taken in again while something is about to go. */
+	/** An unchanged list only renews its targets, unless unlisted ones are still due to expire. */
 	function refresh(listing: InstanceListing, answer: InstanceListing | "unchanged") {
 		if (answer !== "unchanged" || known.size > listing.targets.length) return take(listing)
 		const now = clock.now()
--- a/packages/entry/src/fleet/config-keeper.ts
+++ b/packages/entry/src/fleet/config-keeper.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' configuration as this instance knows it: the newest version from the store or
- * from a peer. A version that is in force is never replaced by an older one.
+ * Holds the newest configuration seen in the store or at a peer, and writes operators' changes.
+ * A version in force is never replaced by an older one.
  */
 import {randomUUID} from "node:crypto"
 import {
@@ -20,16 +20,20 @@
 
 export interface ConfigKeeper {
 	current(): VersionedConfig | undefined
-	/** Takes a version from any source if it is newer; returns whether it is now in force. */
+	/** Puts a version in force if it is valid and newer; returns whether it did. */
 	offer(candidate: VersionedConfig, source: string): boolean
-	/** Changes the configuration if its version is still `expected`. */
+	/**
+	 * Writes a new version if the current one is still `expected`. Fails with `config_conflict` when another
+	 * change won, and with `config_unknown` when it cannot be known which did.
+	 */
 	put(
 		config: unknown,
 		expected: number,
 		author: string,
 	): Promise<Result<VersionedConfig, DispatchError>>
+	/** Returns all past versions and the current one. */
 	history(): Promise<Result<readonly VersionedConfig[], DispatchError>>
-	/** Milliseconds for which the version has been in force here. */
+	/** Returns how long the current version has been in force on this instance; 0 without one. */
 	inForceMs(): number
 }
 
@@ -53,20 +57,22 @@
 		if (!isNewer(candidate, current)) return false
 		const checked = parseConfig(candidate.config)
 		if (checked.isErr()) {
-			deps.log.error(`Version ${candidate.version} is refused: ${checked.error.detail}.`)
+			deps.log.error(
+				`Configuration version ${candidate.version} is invalid: ${checked.error.detail}.`,
+			)
 			return false
 		}
 		current = {...candidate, config: checked.value}
 		inForceSince = clock.now()
 		deps.metrics.gauge("config.version", candidate.version)
 		deps.log.info(
-			`Version ${candidate.version} by ${candidate.author} is in force, from ${source}.`,
+			`Configuration version ${candidate.version} by ${candidate.author} is in force, from ${source}.`,
 		)
 		deps.onChange(checked.value)
 		return true
 	}
 
-	/** Keeps the present version in the history before another replaces it. */
+	/** Copies the current version to the history; false when the store does not confirm it. */
 	async function archive(item: StoreItem): Promise<boolean> {
 		const value = item.value as VersionedConfig
 		for (let attempt = 0; attempt < PUT_TRIES; attempt++) {
@@ -86,7 +92,7 @@
 		)
 	}
 
-	/** Decides a write by what the store holds now. */
+	/** Reads from the store whether a write of unknown outcome won; `open` when it cannot tell. */
 	async function judge(mine: VersionedConfig): Promise<"accepted" | "open" | DispatchError> {
 		const item = await store.get(CONFIG_KEY)
 		if (item === undefined) return "open"
@@ -101,7 +107,7 @@
 			: conflict(present)
 	}
 
-	/** Repeats one compare-and-swap until it is known who won. */
+	/** Retries one compare-and-swap until its outcome is known. */
 	async function write(mine: VersionedConfig, revision: number) {
 		for (let attempt = 0; attempt < PUT_TRIES; attempt++) {
 			const result = await store.put(CONFIG_KEY, mine, {expect: revision})
--- a/packages/entry/src/fleet/journals.ts
+++ b/packages/entry/src/fleet/journals.ts
@@ -1,5 +1,5 @@
 /**
- * Journals as values of the store: creating entries, listing a journal, trimming old segments.
+ * Stores journals in the key-value store: creates and lists entries, deletes old segments.
  */
 import type {CreateResult, JournalEntry, SessionId} from "@cottonwood/core"
 import type {Store} from "@cottonwood/core"
@@ -10,7 +10,7 @@
 	readonly entry: JournalEntry
 }
 
-/** Creates one number of a journal if the store has it not. */
+/** Creates an entry under its sequence number; returns the present one if there is any. */
 export async function createEntry(
 	store: Store,
 	session: SessionId,
@@ -23,7 +23,7 @@
 	return {type: "exists", entry: result.current.value as JournalEntry}
 }
 
-/** Lists a journal by ascending number; `undefined` means that the store gave no answer. */
+/** Lists a journal in sequence order; returns undefined when the store does not answer. */
 export async function listEntries(
 	store: Store,
 	session: SessionId,
@@ -35,14 +35,14 @@
 	}))
 }
 
-/** Deletes one segment of a journal by one call. */
+/** Deletes one segment; returns whether the store confirmed it. */
 export function deleteSegment(store: Store, session: SessionId, segment: number): Promise<boolean> {
 	return store.deletePrefix(segmentPrefix(session, segment))
 }
 
 /**
- * Deletes a sealed journal that nobody needs any more, but for its last segment: without the seal in
- * it, an owner that was paused for the whole retention time could append again.
+ * Deletes a sealed journal except for its last segment: without the seal in it, an owner that was
+ * paused for the whole retention time could append again.
  */
 export async function trimSealed(store: Store, session: SessionId): Promise<void> {
 	const entries = await listEntries(store, session)
--- a/packages/entry/src/fleet/keys.ts
+++ b/packages/entry/src/fleet/keys.ts
@@ -1,9 +1,9 @@
 /**
- * The keys of the store.
+ * Keys in the key-value store: sessions, ownership map, configuration and journals.
  */
 import {SEGMENT_LENGTH, type SessionId} from "@cottonwood/core"
 
-/** Everything that each instance watches. */
+/** Every instance watches the keys under this prefix. */
 export const LIVE_PREFIX = "cottonwood/live/"
 export const OWNERSHIP_KEY = `${LIVE_PREFIX}ownership`
 export const CONFIG_KEY = `${LIVE_PREFIX}config`
@@ -24,7 +24,7 @@
 export const segmentPrefix = (session: SessionId, segment: number) =>
 	`${journalPrefix(session)}${pad(segment)}/`
 
-/** The segment is a function of the number, so one number has one key. */
+/** The segment follows from the sequence number, so that each number has exactly one key. */
 export const entryKey = (session: SessionId, seq: number) =>
 	`${segmentPrefix(session, segmentOf(seq))}${pad(seq)}`
 
--- a/packages/entry/src/fleet/live-view.ts
+++ b/packages/entry/src/fleet/live-view.ts
@@ -1,20 +1,20 @@
 /**
- * This instance's copy of what the store says is live: sessions, the ownership map, and the
- * configuration. One waiting watch keeps it fresh; without the store it keeps its last state.
+ * A local copy of the store's live keys: sessions, ownership map and configuration. A long-polling
+ * watch keeps it current; while the store is unreachable the last state holds.
  */
 import {backoffMs, type Clock, type OwnershipMap, type SessionId} from "@cottonwood/core"
 import type {Log} from "../utils/log.js"
 import type {Store, StoreItem} from "@cottonwood/core"
 import {CONFIG_KEY, LIVE_PREFIX, OWNERSHIP_KEY, SESSION_PREFIX} from "./keys.js"
 
-/** What an instance says of itself for the length of a session. */
+/** What an instance publishes about itself while its session lasts. */
 export interface SessionInfo {
 	readonly session: SessionId
 	readonly instance: string
 	readonly failureDomain: string
-	/** host:port for peers. */
+	/** The address for peers, host:port. */
 	readonly peer: string
-	/** Other addresses for peers of certain failure domains. */
+	/** Addresses for peers of certain failure domains, by domain. */
 	readonly peerFor: Readonly<Record<string, string>>
 	/** The URL for callers. */
 	readonly http: string
@@ -24,7 +24,7 @@
 export interface LiveView {
 	start(): void
 	stop(): void
-	/** Reads everything afresh; false when the store gave no answer. */
+	/** Lists all keys again; returns false when the store does not answer. */
 	refresh(): Promise<boolean>
 	sessions(): ReadonlyMap<SessionId, SessionInfo>
 	ownership(): {readonly map: OwnershipMap | undefined; readonly revision: number}
@@ -40,7 +40,7 @@
 	readonly onChange: () => void
 }
 
-/** A connection may go silent for good: a change is missed for so long at most, and the patience for an answer. */
+/** With the call's timeout, limits how long changes are missed on a connection that went silent. */
 const WATCH_MS = 2_000
 const RETRY_BASE_MS = 100
 const RETRY_CAP_MS = 2_000
@@ -89,12 +89,12 @@
 			const isFresh = failures === 0 && isLoaded ? await watchOnce() : await refresh()
 			if (isStopped) return
 			if (isFresh) {
-				if (failures > 1) deps.log.info("The store answers again.")
+				if (failures > 1) deps.log.info("The store is reachable again.")
 				failures = 0
 				continue
 			}
 			failures++
-			if (failures === 2) deps.log.warn("The store gives no answer; the last known state holds.")
+			if (failures === 2) deps.log.warn("The store does not answer; keeping the last known state.")
 			await clock.sleep(backoffMs(failures, RETRY_BASE_MS, RETRY_CAP_MS, deps.random))
 		}
 	}
--- a/packages/entry/src/fleet/ownership-loop.ts
+++ b/packages/entry/src/fleet/ownership-loop.ts
@@ -1,7 +1,7 @@
 /**
- * Moves shards towards the assignment that all instances compute alike: takes the shards of dead
- * sessions after sealing their journals, gives up those that another instance should have, and
- * serves a shard only after the journals of its past owners are read.
+ * Reconciles shard ownership with the assignment that all instances compute alike: claims the shards
+ * of dead sessions after sealing their journals, releases those assigned to other instances, and
+ * serves a shard only after reading the journals of its past owners.
  */
 import {randomUUID} from "node:crypto"
 import {
@@ -28,7 +28,7 @@
 export interface OwnershipLoop {
 	start(): void
 	stop(): void
-	/** Looks at the assignment soon, because something changed. */
+	/** Checks the assignment soon rather than at the next tick; no effect during a check. */
 	nudge(): void
 	isOwned(shard: number): boolean
 	ownedCount(): number
@@ -58,14 +58,14 @@
 export function createOwnershipLoop(deps: OwnershipLoopDeps): OwnershipLoop {
 	const {store, view, session, clock} = deps
 	const owned = new Set<number>()
-	/** The newest revision of the map that this instance has seen; an older copy decides nothing. */
+	/** The newest revision of the map seen; older copies are ignored. */
 	let knownRevision = 0
 	let isStopped = false
 	let wake: (() => void) | undefined
 
 	/**
-	 * Writes a change of the map and repeats it until the answer is definite: a write whose fate is
-	 * open could otherwise take effect later, after this instance had decided something else.
+	 * Writes the map and retries until the outcome is known: a write of unknown outcome could otherwise
+	 * take effect after this instance has decided something else.
 	 */
 	async function writeMap(map: OwnershipMap, revision: number): Promise<boolean> {
 		for (let attempt = 0; !isStopped; attempt++) {
@@ -114,7 +114,7 @@
 			})
 			if (records === undefined) return false
 			deps.metrics.count("journal.sealed")
-			deps.log.info(`Journal of ${dead} is sealed with ${records.length} records.`)
+			deps.log.info(`Sealed the journal of ${dead} with ${records.length} records.`)
 		}
 		return true
 	}
@@ -124,7 +124,7 @@
 		return entries?.flatMap(({entry}) => ("sealedBy" in entry ? [] : entry.records))
 	}
 
-	/** Starts to serve the shards that the map gives to this session, after reading their past. */
+	/** Starts serving newly assigned shards after reading the journals of their past owners. */
 	async function adopt(self: SessionId) {
 		const {map, revision} = view.ownership()
 		if (!map || revision < knownRevision) return
@@ -141,7 +141,7 @@
 		if (session.id() !== self) return
 		for (const shard of given) owned.add(shard)
 		deps.metrics.gauge("shards.owned", owned.size)
-		deps.log.info(`Serving ${given.length} more shards, ${owned.size} in all.`)
+		deps.log.info(`Serving ${given.length} more shards, ${owned.size} in total.`)
 	}
 
 	async function release(map: OwnershipMap, revision: number, moves: Moves) {
@@ -149,12 +149,12 @@
 		await session.journal().flush()
 		const isWritten = await move(map, revision, moves)
 		deps.metrics.gauge("shards.owned", owned.size)
-		if (isWritten) deps.log.info(`Gave up ${moves.length} shards.`)
+		if (isWritten) deps.log.info(`Released ${moves.length} shards.`)
 	}
 
 	async function claim(map: OwnershipMap, revision: number, plan: readonly number[], self: string) {
 		const moves = plan.map(shard => ({shard, to: self}))
-		if (await move(map, revision, moves)) deps.log.info(`Took ${plan.length} shards.`)
+		if (await move(map, revision, moves)) deps.log.info(`Claimed ${plan.length} shards.`)
 	}
 
 	async function reconcile() {
@@ -184,7 +184,7 @@
 	async function loop() {
 		while (!isStopped) {
 			await reconcile().catch((error: unknown) =>
-				deps.log.error(`The assignment could not be checked: ${String(error)}.`),
+				deps.log.error(`Ownership check failed: ${String(error)}.`),
 			)
 			await new Promise<void>(resolve => {
 				const cancel = clock.schedule(TICK_MS, resolve)
--- a/packages/entry/src/fleet/session.ts
+++ b/packages/entry/src/fleet/session.ts
@@ -1,6 +1,6 @@
 /**
- * This instance's session with the store: its lease, its line among the live sessions, and its
- * journal. A session that lapsed is never revived; a new one with a new journal takes its place.
+ * This instance's session in the store: its lease, its published entry and its journal. A lapsed
+ * session is never revived; a new one with a new journal replaces it.
  */
 import {randomBytes} from "node:crypto"
 import {
@@ -18,14 +18,15 @@
 import type {SessionInfo} from "./live-view.js"
 
 export interface Session {
-	/** Opens the first session, and a new one whenever the last is lost. */
+	/** Opens a session, and a new one whenever it is lost. */
 	start(): void
-	/** Returns the open session, or undefined before the first and while it is replaced. */
+	/** Returns undefined while no session is open. */
 	id(): SessionId | undefined
+	/** Returns the journal of the open or else the last session. */
 	journal(): Journal
-	/** Rewrites this instance's line as draining. */
+	/** Publishes that this instance is draining. */
 	announceDraining(): Promise<void>
-	/** Ends the session, so that nobody waits for its lease to lapse. */
+	/** Flushes the journal and revokes the lease, so that nobody waits for it to lapse. */
 	end(): Promise<void>
 }
 
@@ -40,7 +41,7 @@
 	readonly fleetWritesPerSecond: () => number
 	readonly fleetSize: () => number
 	readonly retentionMs: () => number
-	/** Called when the session is lost; its shards may have new owners from now on. */
+	/** Called when the session is lost; from then on its shards may have new owners. */
 	readonly onLost: (session: SessionId) => void
 	readonly onOpen: () => void
 }
@@ -54,7 +55,7 @@
 	readonly id: SessionId
 	readonly lease: string
 	readonly journal: Journal
-	/** When each segment got its first entry, for trimming. */
+	/** When each segment got its first entry, in milliseconds on the monotonic clock. */
 	readonly segmentStarts: Map<number, number>
 }
 
@@ -96,7 +97,7 @@
 		const journal = newJournal(id, segmentStarts)
 		open = {id, lease, journal, segmentStarts}
 		lastJournal = journal
-		deps.log.info(`Session ${id} is open.`)
+		deps.log.info(`Opened session ${id}.`)
 		deps.onOpen()
 		return true
 	}
@@ -105,7 +106,7 @@
 		if (open?.id !== id) return
 		open = undefined
 		deps.metrics.count("session.lost")
-		deps.log.warn(`Session ${id} is lost: ${cause}.`)
+		deps.log.warn(`Lost session ${id}: ${cause}.`)
 		deps.onLost(id)
 	}
 
--- a/packages/entry/src/peers/messages.ts
+++ b/packages/entry/src/peers/messages.ts
@@ -1,5 +1,5 @@
 /**
- * Conversions between the core's types and the messages between instances.
+ * Converts between the core's types and the messages between instances.
  */
 import {
 	parseSelector,
@@ -35,7 +35,7 @@
 	return retryAfterMs > 0 ? {...base, retryAfterMs} : base
 }
 
-/** The texts of an attempt's selectors, which travel instead of their parsed form. */
+/** An attempt's selectors as text, as peers receive them. */
 export interface SelectorTexts {
 	readonly selector: string
 	readonly prefer: string
@@ -67,7 +67,7 @@
 	}
 }
 
-/** Rebuilds an attempt that a peer forwarded; its selectors were checked at the peer. */
+/** Converts an attempt that a peer forwarded; the peer has checked its selectors. */
 export function fromAttemptMessage(message: AttemptMessage__Output, now: number): Attempt {
 	const selector = parseSelector(message.selector).unwrapOr([])
 	const prefer = parseSelector(message.prefer).unwrapOr([])
--- a/packages/entry/src/peers/peer-server.ts
+++ b/packages/entry/src/peers/peer-server.ts
@@ -1,5 +1,5 @@
 /**
- * What this instance serves to its peers.
+ * The gRPC service for peers: submissions, forwarded attempts, heartbeats and configuration.
  */
 import * as grpc from "@grpc/grpc-js"
 import {
@@ -43,9 +43,9 @@
 }
 
 export interface PeerServer {
-	/** Listens; resolves with the port. */
+	/** Resolves with the bound port; rejects when it is taken. */
 	listen(host: string, port: number): Promise<number>
-	/** Ends after the calls in flight, or by force after `limitMs`. */
+	/** Waits for calls in flight for up to `limitMs` milliseconds, then closes by force. */
 	close(limitMs: number): Promise<void>
 }
 
--- a/packages/entry/src/peers/peer-table.ts
+++ b/packages/entry/src/peers/peer-table.ts
@@ -1,8 +1,8 @@
 /**
- * The other entry instances: their addresses, whether they answer, and what room they report.
+ * The other entry instances: their addresses, liveness and reported room.
  *
  * Addresses come from the live sessions and, without the store, from the instance list. Liveness
- * comes from heartbeats between the instances themselves, so it holds when the store is down.
+ * comes from heartbeats between the instances, so it does not depend on the store.
  */
 import type {Clock, PeerRoom, SessionId} from "@cottonwood/core"
 import {
@@ -33,18 +33,19 @@
 export interface PeerTable {
 	start(): void
 	stop(): void
-	/** Brings the table in line with the sessions and the list. */
+	/** Adds and removes peers to match the sessions and the list. */
 	update(sessions: Iterable<SessionInfo>, listed: readonly ListedEntry[]): void
 	byInstance(instance: string): Peer | undefined
 	bySession(session: SessionId): Peer | undefined
-	/** Instances of a failure domain that answer and do not drain, without this one. */
+	/** Returns the live peers of a failure domain that are not draining. */
 	liveIn(failureDomain: string): readonly string[]
+	/** Returns all live peers that are not draining, as of the last check. */
 	live(): readonly string[]
 	rooms(): readonly PeerRoom[]
 	noteRoom(instance: string, pool: string, free: number): void
-	/** Sends the next heartbeat to every peer soon, because there is news. */
+	/** Makes the next heartbeat to every peer due at once. */
 	announce(): void
-	/** Takes in what a peer said of itself in a heartbeat. */
+	/** Applies a heartbeat that a peer sent. */
 	noteHeartbeat(message: HeartbeatMessage__Output): void
 	all(): Iterable<Peer>
 }
@@ -58,15 +59,15 @@
 	readonly heartbeatMs: number
 	readonly peerTimeoutMs: number
 	readonly describe: () => HeartbeatMessage
-	/** Called when the set of live peers changed. */
+	/** Called when the set of live peers changes. */
 	readonly onMembers: () => void
-	/** Called when a peer reported its room, in one pool or in all. */
+	/** Called when a peer reports its room, in one pool or in all. */
 	readonly onRoom: (instance: string, pool?: string) => void
 	readonly onNewerConfig: (peer: Peer, version: number) => void
 }
 
 const TICK_SHARE = 4
-/** Peers of other failure domains get heartbeats this much more seldom. */
+/** Multiplies the heartbeat interval and timeout for peers of other failure domains. */
 const FAR_FACTOR = 5
 const HEARTBEAT_DEADLINE_MS = 1_000
 
@@ -75,7 +76,7 @@
 	const peers = new Map<string, Peer>()
 	let isStopped = false
 	let lastLive = ""
-	/** Asked for with every placement, so it is computed once per check. */
+	/** Computed once per check, since every placement reads it. */
 	let liveCache: readonly string[] = []
 
 	function isSameDomain(peer: Peer): boolean {
@@ -209,7 +210,7 @@
 			const peer = peers.get(message.instance)
 			if (!peer) return
 			if (message.session !== "") peer.session = message.session
-			// Only what the peer says of itself: that it reaches us does not mean that we reach it.
+			// Does not count as an answer: a peer that reaches this instance may not be reachable from it.
 			peer.draining = message.draining
 			peer.room = new Map(message.room.map(({pool, free}) => [pool, free]))
 			deps.onRoom(peer.instance)
