--- a/packages/entry/src/core/base.ts
+++ b/packages/entry/src/core/base.ts
@@ -1,6 +1,5 @@
 /**
- * What all parts of an instance share: its settings, clock, randomness, logs, counters, and the few
- * facts about it that change.
+ * What all parts of an instance share: settings, clock, randomness, log, metrics and mutable state.
  */
 import {createExplainer, systemClock, type Clock, type Explainer} from "@cottonwood/core"
 import {createLog, type Log} from "../utils/log.js"
@@ -20,7 +19,7 @@
 export interface InstanceState {
 	draining: boolean
 	openRequests: number
-	/** Ports as bound; 0 before listening. */
+	/** The bound port, 0 before listening; likewise `peerPort`. */
 	httpPort: number
 	peerPort: number
 }
--- a/packages/entry/src/core/dispatch-parts.ts
+++ b/packages/entry/src/core/dispatch-parts.ts
@@ -1,6 +1,6 @@
 /**
- * The parts that carry submissions: the scheduler, the targets and their clients, the owner, the
- * router, and the service for peers.
+ * Creates the parts that handle submissions: scheduler, targets and their clients, owner, router and
+ * the service for peers.
  */
 import {
 	attemptId,
@@ -45,7 +45,7 @@
 
 export type DispatchParts = ReturnType<typeof createDispatchParts>
 
-/** The clients of executors and workers behind one way to send, stop and keep. */
+/** Creates the clients of executors and workers behind one interface. */
 function createTargetClients(base: Base) {
 	const executors = createExecutorClient(base.clock)
 	const workers = createWorkerClient(base.clock)
@@ -71,7 +71,7 @@
 
 type TargetClients = ReturnType<typeof createTargetClients>
 
-/** An instance's share of a quota of the whole fleet. */
+/** Returns this instance's share of a fleet-wide quota, at least 1. */
 function shareOf(quota: number | undefined, fleet: FleetParts): number {
 	if (quota === undefined) return Infinity
 	return Math.max(1, Math.ceil(quota / (fleet.peers.live().length + 1)))
@@ -155,7 +155,7 @@
 	}
 }
 
-/** Asks the session that may still run an inherited submission. */
+/** Asks the past owner of an inherited submission; returns undefined unless the outcome is final. */
 function askPastOwner(
 	fleet: FleetParts,
 	past: SessionId,
@@ -215,7 +215,7 @@
 		return runSubmission(runDeps, submission, plans, cancellation)
 	}
 
-	/** Runs repeatable work here, without an owner. */
+	/** Runs repeatable requests on this instance, without an owner. */
 	async function runHere(submission: Submission): Promise<Outcome> {
 		const admitted = admit(submission)
 		if (admitted.isOk()) return execute(submission, NOT_CANCELLED)
--- a/packages/entry/src/core/drain.ts
+++ b/packages/entry/src/core/drain.ts
@@ -1,6 +1,5 @@
 /**
- * A planned stop: readiness goes off, the shards are handed over, the work in flight ends, and only
- * then the process may exit.
+ * Graceful shutdown: reports not ready, hands over the shards and finishes the work in flight.
  */
 import type {HttpServer} from "../http/app.js"
 import {logOf} from "../utils/log.js"
@@ -11,7 +10,7 @@
 const CLOSE_MS = 2_000
 const HANDOVER_POLL_MS = 100
 
-/** Resolves when no shard is owned here, or nobody is there to take them. */
+/** Resolves when no shard is owned, no peer is live, or a lease's term has passed. */
 async function handOverShards({settings, clock}: Base, {ownership, peers}: FleetParts) {
 	const until = clock.now() + settings.timings.leaseTtlMs
 	while (ownership.ownedCount() > 0 && peers.live().length > 0 && clock.now() < until) {
@@ -20,7 +19,7 @@
 	}
 }
 
-/** Stops an instance; resolves when nothing is left to do. */
+/** Stops an instance; resolves when all its parts are closed. */
 export async function drainInstance(
 	base: Base,
 	fleet: FleetParts,
@@ -31,7 +30,7 @@
 	const {timings} = settings
 	const log = logOf(base.log, "instance")
 	state.draining = true
-	log.info("Draining: readiness is off, shards are handed over.")
+	log.info("Draining: reporting not ready and handing over shards.")
 	await Promise.race([fleet.session.announceDraining(), clock.sleep(timings.storeTimeoutMs)])
 	fleet.ownership.nudge()
 	dispatch.board.assign()
@@ -39,7 +38,7 @@
 	const idle = Promise.all([http.close(), handOverShards(base, fleet), dispatch.owner.whenIdle()])
 	const limit = clock.sleep(timings.drainLimitMs).then(() => "limit" as const)
 	const how = await Promise.race([idle.then(() => "idle" as const), limit])
-	if (how === "limit") log.warn("The drain's time limit ended it with work in flight.")
+	if (how === "limit") log.warn("Drain time limit reached with work still in flight.")
 	await fleet.session.end()
 	await dispatch.peerServer.close(CLOSE_MS)
 	for (const part of [fleet.ownership, fleet.view, dispatch.board, fleet.peers]) part.stop()
--- a/packages/entry/src/core/fleet-parts.ts
+++ b/packages/entry/src/core/fleet-parts.ts
@@ -1,6 +1,6 @@
 /**
- * The parts that tie an instance to the fleet: the store, the configuration, the session, the
- * shards, and the peers.
+ * Creates the parts that connect an instance to the fleet: store, configuration, session, shard
+ * ownership and peers.
  */
 import type {Config, Owner, SessionId, VersionedConfig} from "@cottonwood/core"
 import {unpackJson, type HeartbeatMessage} from "@cottonwood/wire"
@@ -14,7 +14,7 @@
 import {logOf} from "../utils/log.js"
 import type {Base} from "./base.js"
 
-/** What the fleet's parts need of the others, which are made after them. */
+/** Callbacks into parts that are created later. */
 export interface FleetHooks {
 	readonly owner: () => Owner
 	readonly rooms: () => ReadonlyMap<string, number>
@@ -23,7 +23,7 @@
 	readonly onConfig: () => void
 }
 
-/** In force before the first configuration is known. */
+/** Defaults until the first configuration is known. */
 const DEFAULT_RETENTION_MS = 600_000
 const DEFAULT_WRITES_PER_SECOND = 240
 
@@ -113,7 +113,7 @@
 		room: [...hooks.rooms()].map(([pool, free]) => ({pool, free})),
 	})
 
-	/** Gets a newer configuration from a peer, for when the store cannot be reached. */
+	/** Fetches a newer configuration from a peer, so that it spreads without the store. */
 	function fetchConfig(peer: Peer, version: number) {
 		if (version <= (config.current()?.version ?? 0)) return
 		peer.client.getConfig({}, (error, reply) => {
--- a/packages/entry/src/core/operators-view.ts
+++ b/packages/entry/src/core/operators-view.ts
@@ -1,6 +1,6 @@
 /**
- * What operators see through one instance: the fleet, the targets, and the decisions taken for a
- * submission at all instances.
+ * Builds operators' views: the fleet, the targets, and the decisions on a submission at all
+ * instances. Also updates the gauges.
  */
 import type {SubmissionKey} from "@cottonwood/core"
 import type {Peer} from "../peers/peer-table.js"
@@ -28,7 +28,7 @@
 	})
 }
 
-/** Collects the steps of a submission from all instances, in the order of their wall clocks. */
+/** Collects the steps of a submission from all reachable instances, by their wall clocks. */
 export async function explainEverywhere(base: Base, fleet: FleetParts, key: SubmissionKey) {
 	const {instance} = base.settings
 	const own = base.explainer.explain(key).map(step => ({instance, ...step}))
@@ -36,13 +36,13 @@
 	return [...own, ...others.flat()].sort((a, b) => a.at - b.at)
 }
 
-/** Why the balancer should send nothing here; undefined when ready. */
+/** Returns why this instance is not ready, or undefined when it is. */
 export function notReadyCause(base: Base, fleet: FleetParts): string | undefined {
 	if (base.state.draining) return "draining"
 	return fleet.config.current() ? undefined : "no configuration is in force"
 }
 
-/** This instance first, then its peers as it sees them. */
+/** Returns this instance, then its peers as seen from it. */
 export function describeInstances(base: Base, fleet: FleetParts) {
 	const {settings, clock} = base
 	const {peers, config, ownership, session} = fleet
@@ -72,7 +72,7 @@
 		.map(target => ({...target, placer: board.placerOf(target) ?? null}))
 }
 
-/** Sets the gauges once a second until the process ends. */
+/** Updates the gauges every second until the process ends. */
 export function startGauges({metrics, state}: Base, fleet: FleetParts, dispatch: DispatchParts) {
 	const {scheduler, owner} = dispatch
 	const timer = setInterval(() => {
--- a/packages/entry/src/core/settings.ts
+++ b/packages/entry/src/core/settings.ts
@@ -1,6 +1,6 @@
 /**
- * The settings of one process: a JSON file, with the addresses and the failure domain overridable
- * from the environment. Unknown keys, wrong types and impossible combinations are refused.
+ * Reads a process's settings from a JSON file; environment variables override names and addresses.
+ * Unknown keys, wrong types and conflicting values are rejected.
  */
 import {readFileSync} from "node:fs"
 import {describeIssues, fail, type DispatchError} from "@cottonwood/core"
@@ -11,26 +11,26 @@
 const hostPort = z.string().regex(/^[^:]+:\d+$/, "expected host:port")
 
 export const settingsSchema = z.strictObject({
-	/** The name of this instance, kept over restarts. */
+	/** The instance's name, stable across restarts. */
 	instance: z
 		.string()
 		.regex(/^[a-z0-9][a-z0-9-]{0,62}$/, "expected lower case, digits and hyphens"),
 	failureDomain: z.string().min(1),
-	/** Where callers, operators and the balancer reach this process. */
+	/** The address for callers, operators and the load balancer. */
 	http: z.strictObject({host: z.string().default("127.0.0.1"), port}),
-	/** Where peers reach this process. */
+	/** The listening address for peers. */
 	peer: z.strictObject({
 		host: z.string().default("127.0.0.1"),
 		port,
-		/** The address that peers should use, where it differs from host and port. */
+		/** The address that peers use, if not host and port. */
 		advertise: hostPort.optional(),
-		/** Other addresses for peers of certain failure domains. */
+		/** Addresses for peers of certain failure domains, by domain. */
 		advertiseTo: z.record(z.string(), hostPort).default({}),
 	}),
 	platform: z.strictObject({
-		/** The key-value service. */
+		/** The URL of the key-value service. */
 		store: z.url(),
-		/** The instance list. */
+		/** The URL of the instance list. */
 		list: z.url(),
 	}),
 	statsd: z.strictObject({host: z.string(), port}).nullable().default(null),
@@ -42,21 +42,21 @@
 		.prefault({}),
 	timings: z
 		.strictObject({
-			/** The term of the lease in the store. */
+			/** Time to live of the session's lease in the store. */
 			leaseTtlMs: z.int().min(500).default(4_000),
-			/** After this long without an answer a store call has no known outcome. */
+			/** Timeout of a store call; its outcome is unknown afterwards. */
 			storeTimeoutMs: z.int().positive().default(1_000),
-			/** Between heartbeats to peers in the own failure domain; others get a fifth of them. */
+			/** Heartbeat interval to peers in the same failure domain; to others it is five times as long. */
 			heartbeatMs: z.int().min(50).default(1_000),
-			/** Without an answer for this long a peer counts as unreachable. */
+			/** A peer counts as unreachable after this long without an answer. */
 			peerTimeoutMs: z.int().positive().default(3_000),
-			/** Between two reads of the instance list. */
+			/** Polling interval of the instance list. */
 			listMs: z.int().min(50).default(1_000),
-			/** How long a stopping instance still serves after it reports not ready. */
+			/** How long a draining instance accepts requests after it reports not ready. */
 			drainGraceMs: z.int().min(0).default(2_000),
-			/** How long a stopping instance waits for work in flight. */
+			/** How long a draining instance waits for work in flight. */
 			drainLimitMs: z.int().positive().default(60_000),
-			/** How long a submission is offered to owners that change or cannot be reached. */
+			/** How long a submission is retried while its owner changes or is unreachable. */
 			ownerPatienceMs: z.int().positive().default(8_000),
 		})
 		.prefault({}),
@@ -70,7 +70,7 @@
 				.int()
 				.positive()
 				.default(16 * 1024),
-			/** How long a caller may take to send its request. */
+			/** Time limit for receiving a request. */
 			requestTimeoutMs: z.int().positive().default(15_000),
 			maxConnections: z.int().positive().default(10_000),
 		})
@@ -81,7 +81,7 @@
 
 type Environment = Readonly<Record<string, string | undefined>>
 
-/** Applies the environment to the raw settings, before they are checked. */
+/** Applies environment variables to the raw settings before validation. */
 function overrideFromEnvironment(raw: Record<string, unknown>, env: Environment) {
 	const merged = structuredClone(raw)
 	const set = (variable: string, path: readonly [string] | readonly [string, string]) => {
@@ -120,7 +120,7 @@
 	return undefined
 }
 
-/** Checks raw settings and fills in defaults. */
+/** Validates raw settings and fills in defaults; fails with `config_invalid`. */
 export function parseSettings(raw: unknown, env: Environment): Result<Settings, DispatchError> {
 	if (typeof raw !== "object" || raw === null || Array.isArray(raw)) {
 		return fail("config_invalid", "(root): expected an object")
@@ -132,7 +132,7 @@
 	return problem === undefined ? ok(parsed.data) : fail("config_invalid", problem)
 }
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file; fails with `config_invalid`. */
 export function readSettingsFile(file: string, env: Environment): Result<Settings, DispatchError> {
 	let raw: unknown
 	try {
--- a/packages/entry/src/http/app.ts
+++ b/packages/entry/src/http/app.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP application for callers, operators and the balancer.
+ * The HTTP application for callers, operators and the load balancer, and its server.
  */
 import {DispatchError, type Clock, type Config, type SubmissionKey} from "@cottonwood/core"
 import {serve, type ServerType} from "@hono/node-server"
@@ -28,7 +28,7 @@
 	readonly describeInstances: () => unknown
 	readonly describeTargets: (type: "executor" | "worker") => unknown
 	readonly drain: () => void
-	/** Why the balancer should send nothing here; undefined when ready. */
+	/** Returns why this instance is not ready, or undefined when it is. */
 	readonly notReadyCause: () => string | undefined
 }
 
@@ -54,11 +54,11 @@
 
 export interface HttpServer {
 	readonly port: number
-	/** Stops listening; resolves when the open requests are answered. */
+	/** Stops listening; resolves when all open requests are answered. */
 	close(): Promise<void>
 }
 
-/** Listens for callers; rejects when the port is taken. */
+/** Starts the server; rejects when the port is taken. */
 export function listenHttp(app: Hono, settings: HttpServerSettings): Promise<HttpServer> {
 	const {host, port, headerBytes, requestTimeoutMs} = settings
 	return new Promise((resolve, reject) => {
--- a/packages/entry/src/http/operators.ts
+++ b/packages/entry/src/http/operators.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' calls: the configuration, what the instance sees of the fleet, and a planned stop.
+ * Routes for operators and the load balancer: configuration, fleet, counters, drain and health.
  */
 import {DispatchError} from "@cottonwood/core"
 import type {Hono} from "hono"
@@ -49,7 +49,6 @@
 	})
 }
 
-/** Adds the operators' routes. */
 export function addOperatorRoutes(app: Hono, deps: HttpDeps) {
 	addConfigRoutes(app, deps)
 	app.get("/v1/instances", c => c.json({instances: deps.describeInstances()}))
--- a/packages/entry/src/http/problem.ts
+++ b/packages/entry/src/http/problem.ts
@@ -1,6 +1,6 @@
 /**
- * Answers to callers: a whole value, or problem details (RFC 9457) with the error kind, what is
- * certain about the work, and when to come back.
+ * Writes outcomes as HTTP responses: a value, or problem details (RFC 9457) with the error kind,
+ * whether the work ran, and when to retry.
  */
 import {
 	ERROR_ANSWERS,
@@ -18,9 +18,9 @@
 	readonly status: number
 	readonly kind: string
 	readonly detail: string
-	/** What is certain about the work: `not run`, `unknown`, `failed`. */
+	/** Whether the work ran: `not run`, `unknown` or `failed`. */
 	readonly ran: string
-	/** What the caller may do: ask with the same id, submit under a new id, change the request. */
+	/** What the caller may do next: retry with the same id, use a new id, or change the request. */
 	readonly next: string
 	readonly id?: string
 	readonly retryAfterMs?: number
--- a/packages/entry/src/http/read-body.ts
+++ b/packages/entry/src/http/read-body.ts
@@ -1,12 +1,13 @@
 /**
- * Reads a request's body up to a limit, straight from the connection: the web stream that the
- * framework would build for it costs a fifth of a short request's processor time.
+ * Reads a request's body straight from the connection, which costs less processor time than the
+ * framework's web stream.
  */
 import {fail, type DispatchError} from "@cottonwood/core"
 import type {HttpBindings} from "@hono/node-server"
 import type {Context} from "hono"
 import {ok, type Result} from "neverthrow"
 
+/** Fails with `body_too_large` when the body has more than `limit` bytes. */
 export async function readBody(c: Context, limit: number): Promise<Result<string, DispatchError>> {
 	const tooLarge = () => fail("body_too_large", `more than ${limit} bytes`)
 	if (Number(c.req.header("content-length") ?? 0) > limit) return tooLarge()
--- a/packages/entry/src/http/schemas.ts
+++ b/packages/entry/src/http/schemas.ts
@@ -1,5 +1,5 @@
 /**
- * The bodies that callers send, checked before anything is accepted.
+ * Parses and validates the bodies of requests and jobs before anything is accepted.
  */
 import {
 	describeIssues,
@@ -33,7 +33,7 @@
 
 const jobSchema = z.strictObject({
 	tasks: z.array(taskSchema).min(1),
-	/** Holds for each task that does not set its own. */
+	/** Default for tasks without a selector; likewise `prefer`. */
 	selector: z.string().optional(),
 	prefer: z.string().optional(),
 	spreadRacks: z.boolean().default(false),
--- a/packages/entry/src/http/submissions.ts
+++ b/packages/entry/src/http/submissions.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' calls: submit a request or a job, ask for its outcome, cancel it, explain it.
+ * Routes for callers: submit a request or a job, get its outcome, cancel it, explain it.
  */
 import {
 	DispatchError,
@@ -33,7 +33,7 @@
 	readonly team: string
 }
 
-/** Reads an id that may come quoted, as the header's draft standard writes it. */
+/** Reads the id, which may be quoted as in the header's draft standard; a missing one is generated. */
 function readId(c: Context): Result<string, DispatchError> {
 	const raw = c.req.header(ID_HEADER)
 	if (raw === undefined) return ok(mintId())
@@ -100,11 +100,10 @@
 	return config.endpoints[submission.request.endpoint]!.defaultDeadlineMs
 }
 
-/** Adds the callers' routes. */
 export function addSubmissionRoutes(app: Hono, deps: HttpDeps) {
 	const {clock, router, metrics} = deps
 
-	/** A refusal before acceptance; it is counted and leaves no trace. */
+	/** Counts and sends a refusal; the submission has not been accepted. */
 	function refuse(c: Context, error: DispatchError, id?: string) {
 		metrics.count(`refusal.${error.kind}`)
 		return sendError(c, error, id)
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The public surface of the entry instance: its settings, and starting it.
+ * The public API of the entry instance: reading settings and starting an instance.
  */
 export {parseSettings, readSettingsFile, settingsSchema} from "./core/settings.js"
 export type {Settings} from "./core/settings.js"
--- a/packages/entry/src/instance.ts
+++ b/packages/entry/src/instance.ts
@@ -1,5 +1,5 @@
 /**
- * One entry instance: its parts joined, started and stopped.
+ * Assembles, starts and drains an entry instance.
  */
 import {createBase, type Base} from "./core/base.js"
 import {createDispatchParts, type DispatchParts} from "./core/dispatch-parts.js"
@@ -20,7 +20,7 @@
 export interface Instance {
 	readonly httpPort: number
 	readonly peerPort: number
-	/** Stops without cutting a request: resolves when the process may exit. */
+	/** Finishes open requests and stops; resolves after the callback `onDrained`. */
 	drain(): Promise<void>
 }
 
@@ -85,7 +85,7 @@
 	startGauges(base, fleet, dispatch)
 	const {httpPort, peerPort} = state
 	logOf(base.log, "instance").info(
-		`Listening for callers on ${httpPort}, for peers on ${peerPort}.`,
+		`Listening for callers on port ${httpPort}, for peers on port ${peerPort}.`,
 	)
 	return {httpPort, peerPort, drain}
 }
--- a/packages/entry/src/platform/instance-list.ts
+++ b/packages/entry/src/platform/instance-list.ts
@@ -1,5 +1,6 @@
 /**
- * The client of the platform's instance list: who is there, live or leaving, with a lag.
+ * The client of the platform's instance list: entry instances, executors and workers, live or
+ * leaving. The list lags behind the fleet.
  */
 import type {Target} from "@cottonwood/core"
 import {Agent, request} from "undici"
@@ -67,14 +68,14 @@
 }
 
 export interface InstanceList {
-	/** Reads the list; `undefined` means no answer. */
+	/** Reads the list; returns undefined when there is no valid answer. */
 	read(): Promise<InstanceListing | "unchanged" | undefined>
 	close(): Promise<void>
 }
 
 /**
- * Creates the client. It asks with the tag of its last reading, so that a list that did not change
- * costs a few hundred bytes however long it is.
+ * Creates the client. Each read sends the last answer's entity tag, so that an unchanged list is not
+ * sent again.
  */
 export function createInstanceList(url: string): InstanceList {
 	const agent = new Agent({connections: 1})
--- a/packages/entry/src/platform/store.ts
+++ b/packages/entry/src/platform/store.ts
@@ -1,6 +1,6 @@
 /**
- * The client of the platform's key-value service. Every call is counted, and an answer that does
- * not arrive is reported as unknown, never guessed.
+ * The client of the platform's key-value service. Calls are counted; a call without an answer has
+ * an unknown outcome.
  */
 import type {PutResult, Store, StoreChange, StoreItem} from "@cottonwood/core"
 import {Agent, request, type Dispatcher} from "undici"
--- a/packages/entry/src/targets/executor-client.ts
+++ b/packages/entry/src/targets/executor-client.ts
@@ -1,16 +1,16 @@
 /**
- * The client of executors: one POST per attempt, answered whole or not counted as an answer.
+ * The client of executors: one POST per attempt.
  *
- * An executor says `not started` with status 429 or 503 and the header `cottonwood-refused`. A
- * whole answer carries the attempt's id back and is as long as it says. A refused connection means
- * that no byte left; every other broken exchange may have started the work.
+ * An executor reports `not started` by the header `cottonwood-refused`. A complete answer carries the
+ * attempt's id. When the connection was never made, nothing was sent; after any other failed exchange
+ * the work may have started.
  */
 import type {Attempt, AttemptResult, Clock, Target} from "@cottonwood/core"
 import {Pool, errors, type Dispatcher} from "undici"
 
 export interface ExecutorClient {
 	invoke(target: Target, attempt: Attempt): Promise<AttemptResult>
-	/** Closes the connections of targets that are gone. */
+	/** Closes the connections to all other targets. */
 	keep(targets: readonly Target[]): void
 	close(): Promise<void>
 }
@@ -18,7 +18,7 @@
 const CONNECTIONS_PER_EXECUTOR = 32
 const KEEP_ALIVE_MS = 3_000
 
-/** Errors at which the connection was never made, so that no byte of the request left. */
+/** Errors that mean that no connection was made, so that nothing of the request was sent. */
 const NEVER_CONNECTED = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "EADDRNOTAVAIL"])
 
 export function isNeverConnected(error: unknown): boolean {
@@ -26,7 +26,7 @@
 	return NEVER_CONNECTED.has(code) || error instanceof errors.ConnectTimeoutError
 }
 
-/** Keeps one connection pool per address. */
+/** Creates connection pools on demand, one per address. */
 export function createPools(connections: number) {
 	const pools = new Map<string, Pool>()
 	return {
--- a/packages/entry/src/targets/worker-client.ts
+++ b/packages/entry/src/targets/worker-client.ts
@@ -1,8 +1,8 @@
 /**
- * The client of workers: a batch of attempts per POST, whose events come back one per line.
+ * The client of workers: one POST per batch of attempts, one line per event in the response.
  *
- * When a batch's stream breaks, the fate of its open attempts is asked for until the worker knows
- * it or their leases have ended; it is never guessed.
+ * When the stream breaks, the worker is asked for the state of the unsettled attempts until it
+ * reports their end or stops answering.
  */
 import {createInterface} from "node:readline"
 import type {Attempt, AttemptResult, Clock, Target} from "@cottonwood/core"
@@ -27,9 +27,11 @@
 type Settle = (id: string, result: AttemptResult) => void
 
 export interface WorkerClient {
-	/** Sends a batch; `settle` is called once for each attempt. */
+	/** Sends a batch and calls `settle` once for each attempt. */
 	run(target: Target, attempts: readonly Attempt[], settle: Settle): Promise<void>
+	/** Asks the worker to stop attempts; a failed call is ignored. */
 	stop(target: Target, attempts: readonly Attempt[]): Promise<void>
+	/** Closes the connections to all other targets. */
 	keep(targets: readonly Target[]): void
 	close(): Promise<void>
 }
@@ -79,7 +81,7 @@
 		})
 	}
 
-	/** Asks until the worker tells the fate of each open attempt, or cannot tell any more. */
+	/** Polls until the worker reports the end of each open attempt or fails to answer repeatedly. */
 	async function askFates(target: Target, open: Map<string, Attempt>, settle: Settle) {
 		let failedAsks = 0
 		while (open.size > 0 && failedAsks < MAX_FAILED_ASKS) {
@@ -97,7 +99,7 @@
 			}
 		}
 		for (const id of open.keys()) {
-			settle(id, {type: "unknown", detail: `${target.id} cannot be reached any more`})
+			settle(id, {type: "unknown", detail: `${target.id} is unreachable`})
 		}
 	}
 
--- a/packages/entry/src/utils/log.ts
+++ b/packages/entry/src/utils/log.ts
@@ -1,11 +1,11 @@
 /**
- * Logs: one winston logger for the process, and a child with a fixed prefix for each part.
+ * Logging: one winston logger per process, and a child logger for each part.
  */
 import winston from "winston"
 
 export type Log = winston.Logger
 
-/** The fixed prefixes, one per part. */
+/** The part names that prefix log messages. */
 export type LogPart =
 	"instance" | "store" | "fleet" | "config" | "peers" | "targets" | "dispatch" | "http"
 
@@ -20,7 +20,7 @@
 	return `${String(timestamp)} ${level} ${String(instance)} ${String(part)}: ${String(message)}${suffix}`
 })
 
-/** Creates the process's logger; it writes to standard error. */
+/** Creates the process's logger, which writes to standard error. */
 export function createLog(settings: LogSettings, instance: string): Log {
 	const {combine, timestamp, json} = winston.format
 	return winston.createLogger({
--- a/packages/entry/src/utils/metrics.ts
+++ b/packages/entry/src/utils/metrics.ts
@@ -1,14 +1,13 @@
 /**
- * Counters and gauges: sent to statsd, and kept as sums for the operators' page.
- *
- * Statsd being down neither blocks nor fails anything: datagrams are dropped.
+ * Counters and gauges, sent to statsd and kept in memory for operators. Datagrams are dropped while
+ * statsd is down.
  */
 import {StatsD} from "hot-shots"
 
 export interface Metrics {
 	count(name: string, by?: number): void
 	gauge(name: string, value: number): void
-	/** The sums since the start, and the last gauges. */
+	/** Returns the counters since the start and the latest gauges. */
 	snapshot(): {
 		readonly counters: Readonly<Record<string, number>>
 		readonly gauges: Readonly<Record<string, number>>
@@ -24,7 +23,7 @@
 const BUFFER_BYTES = 1_400
 const FLUSH_MS = 1_000
 
-/** Creates the metrics of a process; without settings they are only kept. */
+/** Creates the metrics of a process; without settings nothing is sent. */
 export function createMetrics(settings: MetricsSettings | null, instance: string): Metrics {
 	const counters = new Map<string, number>()
 	const gauges = new Map<string, number>()
