--- a/packages/ctl/src/client.ts
+++ b/packages/ctl/src/client.ts
@@ -1,10 +1,10 @@
 /**
- * Calls to an entry instance, and what a failed one comes to.
+ * The HTTP client for entry instances.
  */
 import {err, ok, type Result} from "neverthrow"
 import {request, type Dispatcher} from "undici"
 
-/** A failed call: the instance's problem details, or why there was no answer. */
+/** The instance's problem details, or `unreachable` with status 0 when there was no answer. */
 export interface CallFailure {
 	readonly kind: string
 	readonly detail: string
--- a/packages/ctl/src/commands/command.ts
+++ b/packages/ctl/src/commands/command.ts
@@ -1,5 +1,5 @@
 /**
- * What all commands are given, and the shape they have.
+ * The type of commands and of their input.
  */
 import type {Connection} from "../client.js"
 
@@ -14,7 +14,7 @@
 		readonly version?: number
 		readonly author: string
 		readonly limit: number
-		/** Takes an evacuated failure domain back. */
+		/** Ends the evacuation of a failure domain. */
 		readonly finish: boolean
 	}
 }
--- a/packages/ctl/src/commands/operators.ts
+++ b/packages/ctl/src/commands/operators.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' commands: config, instances, endpoints, workers, drain.
+ * Commands for operators: config, evacuate, instances, endpoints, workers, drain.
  */
 import {readFileSync} from "node:fs"
 import {callEntry} from "../client.js"
@@ -51,7 +51,7 @@
 async function putConfig(invocation: Invocation, file: string): Promise<number> {
 	const {connection, asJson, flags} = invocation
 	if (flags.version === undefined) {
-		process.stderr.write("config put: --if-version N is needed: the version that it replaces\n")
+		process.stderr.write("config put: --if-version N is required: the version to replace\n")
 		return EXIT.usage
 	}
 	const result = await callEntry<VersionedConfig>(connection, "/v1/config", {
@@ -103,10 +103,10 @@
 	readonly evacuated?: readonly string[]
 }
 
-/** Other changes of the configuration may come between the reading and the writing. */
+/** Another change may win between the read and the write. */
 const EVACUATE_TRIES = 5
 
-/** Empties a failure domain, or takes it back; without one, lists those that are emptied. */
+/** Evacuates a failure domain or ends its evacuation; without one, lists the evacuated domains. */
 export const evacuate: Command = async invocation => {
 	const [domain] = invocation.words
 	for (let tries = 1; ; tries++) {
@@ -150,7 +150,7 @@
 	return EXIT.usage
 }
 
-/** Prints a list that an instance answers with, as a table or as JSON. */
+/** Fetches a list and prints it as a table or as JSON. */
 async function printList<T>(
 	invocation: Invocation,
 	path: string,
--- a/packages/ctl/src/commands/submissions.ts
+++ b/packages/ctl/src/commands/submissions.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' commands: submit, status, cancel, jobs, explain.
+ * Commands for submissions: submit, status, cancel, jobs, explain.
  */
 import {randomUUID} from "node:crypto"
 import {readFileSync} from "node:fs"
@@ -35,7 +35,7 @@
 	}
 }
 
-/** Shows on a terminal that a long submission still runs. */
+/** Shows on a terminal how long the submission has been running. */
 function showProgress(startedAt: number) {
 	if (!process.stderr.isTTY) return
 	const seconds = ((Date.now() - startedAt) / 1_000).toFixed(0)
--- a/packages/ctl/src/commands/trace.ts
+++ b/packages/ctl/src/commands/trace.ts
@@ -1,11 +1,11 @@
 /**
- * `trace ID`: the timeline of a job from the structured lines of all instances, without asking any.
+ * `trace ID`: prints a job's timeline from the instances' structured log lines, without calling them.
  */
 import {readFileSync} from "node:fs"
 import {EXIT, printJson, printLine, printTable} from "../output.js"
 import type {Command} from "./command.js"
 
-/** A structured line; only what the timeline shows is named. */
+/** A structured log line; fields that the timeline uses are declared. */
 export interface LogLine {
 	readonly timestamp: string
 	readonly instance?: string
@@ -15,7 +15,7 @@
 	readonly [field: string]: unknown
 }
 
-/** Shown in columns of their own, or the same on each line. */
+/** Fields that have their own column or add nothing to the timeline. */
 const COLUMNS = new Set([
 	"timestamp",
 	"instance",
@@ -27,7 +27,7 @@
 	"sampledOut",
 ])
 
-/** Finds the lines in a text; what comes before a line's JSON, as a prefix of a collector, is passed over. */
+/** Parses log lines; a log collector's prefix before the JSON is ignored, as are rows of other programs. */
 export function readLines(text: string): readonly LogLine[] {
 	const lines: LogLine[] = []
 	for (const row of text.split("\n")) {
@@ -37,20 +37,20 @@
 			const line = JSON.parse(row.slice(start)) as LogLine
 			if (typeof line.timestamp === "string") lines.push(line)
 		} catch {
-			// A row that is not one of our lines: other programs write to the same place.
+			// Other programs may write to the same log.
 		}
 	}
 	return lines
 }
 
-/** A job's lines in the order of their time; instances' times of day may differ by milliseconds. */
+/** Returns a job's lines by time; the instances' wall clocks may differ by milliseconds. */
 export function timelineOf(lines: readonly LogLine[], job: string): readonly LogLine[] {
 	return lines
 		.filter(line => line.job === job)
 		.sort((a, b) => (a.timestamp < b.timestamp ? -1 : a.timestamp > b.timestamp ? 1 : 0))
 }
 
-/** The names of instances by their lives, from all lines that name one with its life. */
+/** Returns instance names by session, from all lines that name both. */
 export function livesOf(lines: readonly LogLine[]): ReadonlyMap<unknown, string> {
 	const lives = new Map<unknown, string>()
 	for (const {session, peer} of lines)
@@ -58,7 +58,7 @@
 	return lives
 }
 
-/** What a line says beside its columns; the life of who asked with its name, if any line tells it. */
+/** Formats the fields without a column; `askedBy` gets the instance's name where it is known. */
 export function describeLine(line: LogLine, lives: ReadonlyMap<unknown, string>): string {
 	return Object.entries(line)
 		.filter(([name]) => !COLUMNS.has(name))
@@ -79,7 +79,7 @@
 	const lives = livesOf(lines)
 	if (timeline.length === 0) {
 		const since = lines.map(({timestamp}) => timestamp).sort()[0] ?? "never: no lines were read"
-		printLine(`not known here; the lines begin ${since}`)
+		printLine(`no lines of this job; the log begins ${since}`)
 		return EXIT.failed
 	}
 	if (asJson) printJson(timeline)
--- a/packages/ctl/src/diff.ts
+++ b/packages/ctl/src/diff.ts
@@ -13,7 +13,7 @@
 }
 
 /**
- * Lists what differs; a key that only one side has counts as undefined on the other.
+ * Lists the differences; a key that one side lacks counts as undefined there.
  *
  * @example diffJson({a: 1}, {a: 2}) // [{path: "a", from: 1, to: 2}]
  */
--- a/packages/ctl/src/output.ts
+++ b/packages/ctl/src/output.ts
@@ -1,5 +1,5 @@
 /**
- * What the command prints: JSON on request, else short tables and lines; and its exit codes.
+ * Prints results as JSON, tables or lines, and maps failures to exit codes.
  */
 import type {CallFailure} from "./client.js"
 
@@ -50,7 +50,7 @@
 export function reportFailure(failure: CallFailure, asJson: boolean): number {
 	if (asJson) process.stderr.write(`${JSON.stringify(failure)}\n`)
 	else {
-		const back = failure.retryAfterMs ? `; come back in ${failure.retryAfterMs} ms` : ""
+		const back = failure.retryAfterMs ? `; retry after ${failure.retryAfterMs} ms` : ""
 		process.stderr.write(`${failure.kind} (${failure.ran}): ${failure.detail}${back}\n`)
 	}
 	return exitCodeOf(failure)
--- a/packages/ctl/test/trace.test.ts
+++ b/packages/ctl/test/trace.test.ts
@@ -1,5 +1,5 @@
 /**
- * The timeline of a job from log lines.
+ * Guards the parsing, order and format of a job's timeline.
  */
 import {describeLine, livesOf, readLines, timelineOf} from "cottonwoodctl/trace"
 import {expect} from "chai"
@@ -13,16 +13,16 @@
 ]
 
 describe("trace", () => {
-	it("orders a job's lines by time and passes over what is not a line", () => {
+	it("orders a job's lines by time and ignores rows that are not log lines", () => {
 		const timeline = timelineOf(readLines(LINES.join("\n")), "aa")
 		expect(timeline.map(({kind}) => kind)).to.eql(["task_started", "run_ended"])
 	})
 
-	it("knows nothing of a job without lines", () => {
+	it("returns nothing for a job without lines", () => {
 		expect(timelineOf(readLines(LINES.join("\n")), "cc")).to.eql([])
 	})
 
-	it("names the instance whose life asked, as far as any line does", () => {
+	it("shows the name of the asking instance when a line maps its session to it", () => {
 		const at = '"timestamp":"2026-01-01T00:00:02.000Z"'
 		const lines = readLines(
 			[
