--- a/packages/ctl/src/commands/operators.ts
+++ b/packages/ctl/src/commands/operators.ts
@@ -104,12 +104,12 @@
 }
 
 /** Another change may win between the read and the write. */
-const EVACUATE_TRIES = 5
+const MAX_EVACUATE_ATTEMPTS = 5
 
 /** Evacuates a failure domain or ends its evacuation; without one, lists the evacuated domains. */
 export const evacuate: Command = async invocation => {
 	const [domain] = invocation.words
-	for (let tries = 1; ; tries++) {
+	for (let attempt = 1; ; attempt++) {
 		const current = await readConfig(invocation)
 		if (current.isErr()) return reportFailure(current.error, invocation.asJson)
 		const before = (current.value.config as EvacuatedConfig).evacuated ?? []
@@ -125,8 +125,8 @@
 			},
 		})
 		if (result.isOk()) return printEvacuated(invocation, evacuated)
-		const isOvertaken = result.error.kind === "config_conflict"
-		if (!isOvertaken || tries === EVACUATE_TRIES)
+		const isConflict = result.error.kind === "config_conflict"
+		if (!isConflict || attempt === MAX_EVACUATE_ATTEMPTS)
 			return reportFailure(result.error, invocation.asJson)
 	}
 }
--- a/packages/ctl/src/commands/trace.ts
+++ b/packages/ctl/src/commands/trace.ts
@@ -51,7 +51,7 @@
 }
 
 /** Returns instance names by session, from all lines that name both. */
-export function livesOf(lines: readonly LogLine[]): ReadonlyMap<unknown, string> {
+export function instancesBySession(lines: readonly LogLine[]): ReadonlyMap<unknown, string> {
 	const lives = new Map<unknown, string>()
 	for (const {session, peer} of lines)
 		if (session !== undefined && typeof peer === "string") lives.set(session, peer)
@@ -59,11 +59,11 @@
 }
 
 /** Formats the fields without a column; `askedBy` gets the instance's name where it is known. */
-export function describeLine(line: LogLine, lives: ReadonlyMap<unknown, string>): string {
+export function describeLine(line: LogLine, instances: ReadonlyMap<unknown, string>): string {
 	return Object.entries(line)
 		.filter(([name]) => !COLUMNS.has(name))
 		.map(([name, value]) => {
-			const instance = name === "askedBy" ? lives.get(value) : undefined
+			const instance = name === "askedBy" ? instances.get(value) : undefined
 			return `${name}=${String(value)}${instance ? ` (${instance})` : ""}`
 		})
 		.join(" ")
@@ -76,7 +76,7 @@
 		files.length > 0 ? files.map(file => readFileSync(file, "utf8")) : [readFileSync(0, "utf8")]
 	const lines = texts.flatMap(readLines)
 	const timeline = timelineOf(lines, job)
-	const lives = livesOf(lines)
+	const instances = instancesBySession(lines)
 	if (timeline.length === 0) {
 		const since = lines.map(({timestamp}) => timestamp).sort()[0] ?? "never: no lines were read"
 		printLine(`no lines of this job; the log begins ${since}`)
@@ -90,7 +90,7 @@
 				line.timestamp.slice(11),
 				line.instance,
 				line.kind,
-				describeLine(line, lives),
+				describeLine(line, instances),
 			]),
 		)
 	return EXIT.ok
--- a/packages/ctl/test/trace.test.ts
+++ b/packages/ctl/test/trace.test.ts
@@ -1,7 +1,7 @@
 /**
  * Guards the parsing, order and format of a job's timeline.
  */
-import {describeLine, livesOf, readLines, timelineOf} from "cottonwoodctl/trace"
+import {describeLine, instancesBySession, readLines, timelineOf} from "cottonwoodctl/trace"
 import {expect} from "chai"
 
 const LINES = [
@@ -31,7 +31,7 @@
 				`{${at},"kind":"run_ended","job":"aa","proof":"lease over","askedBy":"22222222"}`,
 			].join("\n"),
 		)
-		const [, started, ended] = lines.map(line => describeLine(line, livesOf(lines)))
+		const [, started, ended] = lines.map(line => describeLine(line, instancesBySession(lines)))
 		expect(started).to.equal("fence=4 askedBy=11111111 (edge-a-1)")
 		expect(ended).to.equal("proof=lease over askedBy=22222222")
 	})
--- a/packages/entry/src/core/dispatch-parts.ts
+++ b/packages/entry/src/core/dispatch-parts.ts
@@ -29,9 +29,9 @@
 } from "@cottonwood/core"
 import type {Result} from "neverthrow"
 import {forwardAttempts} from "../dispatch/forwarding.js"
-import {checkCanRun, planSubmission, textOf} from "../dispatch/plans.js"
+import {checkCanRun, planSubmission, selectorText} from "../dispatch/plans.js"
 import {createRouter} from "../dispatch/router.js"
-import {createTargetBoard} from "../dispatch/targets.js"
+import {createTargetRegistry} from "../dispatch/target-registry.js"
 import {fromOutcomeReply} from "../peers/messages.js"
 import {createServerForPeers} from "../peers/peer-server.js"
 import {createInstanceList} from "../platform/instance-list.js"
@@ -41,7 +41,7 @@
 import type {Base} from "./base.js"
 import type {FleetParts} from "./fleet-parts.js"
 
-const ASK_PAST_MS = 10_000
+const PAST_OWNER_TIMEOUT_MS = 10_000
 
 export type DispatchParts = ReturnType<typeof createDispatchParts>
 
@@ -61,9 +61,9 @@
 		stop(target: Target, attempts: readonly Attempt[]) {
 			if (target.type === "worker") void workers.stop(target, attempts)
 		},
-		keep(targets: readonly Target[]) {
-			executors.keep(targets.filter(target => target.type === "executor"))
-			workers.keep(targets.filter(target => target.type === "worker"))
+		retainOnly(targets: readonly Target[]) {
+			executors.retainOnly(targets.filter(target => target.type === "executor"))
+			workers.retainOnly(targets.filter(target => target.type === "worker"))
 		},
 		close: () => Promise.all([executors.close(), workers.close()]),
 	}
@@ -72,12 +72,12 @@
 type TargetClients = ReturnType<typeof createTargetClients>
 
 /** Returns this instance's share of a fleet-wide quota, at least 1. */
-function shareOf(quota: number | undefined, fleet: FleetParts): number {
+function instanceShare(quota: number | undefined, fleet: FleetParts): number {
 	if (quota === undefined) return Infinity
 	return Math.max(1, Math.ceil(quota / (fleet.peers.live().length + 1)))
 }
 
-function createPlacement(
+function createFleetScheduler(
 	base: Base,
 	fleet: FleetParts,
 	clients: TargetClients,
@@ -87,9 +87,9 @@
 	const {configNow, peers} = fleet
 	const {count} = metrics
 	const log = logOf(base.log, "targets")
-	const textsOf = (attempt: Attempt) => ({
-		selector: textOf(attempt.selector),
-		prefer: textOf(attempt.prefer),
+	const selectorTextsOf = (attempt: Attempt) => ({
+		selector: selectorText(attempt.selector),
+		prefer: selectorText(attempt.prefer),
 	})
 	const settle: Scheduler["settle"] = (id, result) => scheduler.settle(id, result)
 	const scheduler = createScheduler({
@@ -99,14 +99,14 @@
 		send: (target, attempts) => clients.send(target, attempts, settle),
 		stop: clients.stop,
 		forward: (peer, attempts) =>
-			forwardAttempts({clock, peers, textsOf, settle, count}, peer, attempts),
+			forwardAttempts({clock, peers, selectorTextsOf, settle, count}, peer, attempts),
 		stopForwarded(peer, attempts) {
 			peers.byInstance(peer)?.client.stop({key: attempts[0]!.key}, () => undefined)
 		},
 		peers: () => peers.rooms(),
 		weightOf: team => configNow()?.teams[team]?.weight ?? 1,
-		maxRunning: team => shareOf(configNow()?.teams[team]?.maxRunning, fleet),
-		maxQueued: team => shareOf(configNow()?.teams[team]?.maxQueued, fleet),
+		maxRunning: team => instanceShare(configNow()?.teams[team]?.maxRunning, fleet),
+		maxQueued: team => instanceShare(configNow()?.teams[team]?.maxQueued, fleet),
 		maxQueuedTotal: () => configNow()?.limits.maxQueuedPerInstance ?? 0,
 		health: {
 			maxAsideShare: () => configNow()?.health.maxAsideShare ?? 0,
@@ -164,8 +164,8 @@
 	const peer = fleet.peers.bySession(past)
 	if (!peer) return Promise.resolve(undefined)
 	return new Promise(resolve => {
-		const deadline = Date.now() + ASK_PAST_MS
-		peer.client.find({key, waitMs: ASK_PAST_MS}, {deadline}, (error, reply) => {
+		const deadline = Date.now() + PAST_OWNER_TIMEOUT_MS
+		peer.client.find({key, waitMs: PAST_OWNER_TIMEOUT_MS}, {deadline}, (error, reply) => {
 			const outcome = error || !reply ? undefined : fromOutcomeReply(reply)
 			const isFinal = outcome !== undefined && (outcome.ok || outcome.kind !== "wait_ended")
 			resolve(isFinal ? outcome : undefined)
@@ -178,24 +178,24 @@
 	const {configNow, peers, ownership, session} = fleet
 	const estimates = createEstimates()
 	const clients = createTargetClients(base)
-	const scheduler = createPlacement(base, fleet, clients, estimates)
+	const scheduler = createFleetScheduler(base, fleet, clients, estimates)
 	const runDeps = createRunDeps(base, fleet, scheduler, estimates)
 
-	const board = createTargetBoard({
+	const targetRegistry = createTargetRegistry({
 		instance: settings.instance,
 		failureDomain: settings.failureDomain,
 		list: createInstanceList(settings.platform.list),
 		clock,
 		log: logOf(log, "targets"),
 		metrics,
-		everyMs: settings.timings.listMs,
+		pollMs: settings.timings.listMs,
 		isDraining: () => state.draining,
 		isEvacuated: domain => configNow()?.evacuated.includes(domain) ?? false,
 		livePeersIn: peers.liveIn,
 		livePeers: peers.live,
 		scheduler,
-		onTargets: clients.keep,
-		onEntries: fleet.noteListed,
+		onTargets: clients.retainOnly,
+		onEntries: fleet.updateListed,
 	})
 
 	function admit(submission: Submission): Result<void, DispatchError> {
@@ -206,7 +206,7 @@
 		const isJob = submission.type === "job"
 		const pool = isJob ? WORKER_POOL : endpointPool(submission.request.endpoint)
 		const query = {pool, team, attempts: plans.length, deadlineAt, kind: plans[0]!.kind}
-		return checkCanRun(plans, board.all()).andThen(() => scheduler.admit(query))
+		return checkCanRun(plans, targetRegistry.all()).andThen(() => scheduler.admit(query))
 	}
 
 	async function execute(submission: Submission, cancellation: Cancellation): Promise<Outcome> {
@@ -216,7 +216,7 @@
 	}
 
 	/** Runs repeatable requests on this instance, without an owner. */
-	async function runHere(submission: Submission): Promise<Outcome> {
+	async function runLocally(submission: Submission): Promise<Outcome> {
 		const admitted = admit(submission)
 		if (admitted.isOk()) return execute(submission, NOT_CANCELLED)
 		metrics.count(`refusal.${admitted.error.kind}`)
@@ -245,10 +245,10 @@
 		owner: () => owner,
 		selfSession: session.id,
 		isOwned: ownership.isOwned,
-		runHere,
+		runLocally,
 		explainer,
 		metrics,
-		patienceMs: settings.timings.ownerPatienceMs,
+		ownerRetryMs: settings.timings.ownerPatienceMs,
 	})
 	const peerServer = createServerForPeers({
 		clock,
@@ -259,7 +259,7 @@
 		metrics,
 		instance: settings.instance,
 		describe: fleet.describe,
-		onHeartbeat: peers.noteHeartbeat,
+		onHeartbeat: peers.onHeartbeat,
 	})
-	return {clients, scheduler, board, owner, router, peerServer}
+	return {clients, scheduler, targetRegistry, owner, router, peerServer}
 }
--- a/packages/entry/src/core/drain.ts
+++ b/packages/entry/src/core/drain.ts
@@ -7,14 +7,14 @@
 import type {DispatchParts} from "./dispatch-parts.js"
 import type {FleetParts} from "./fleet-parts.js"
 
-const CLOSE_MS = 2_000
+const PEER_SERVER_CLOSE_MS = 2_000
 const HANDOVER_POLL_MS = 100
 
 /** Resolves when no shard is owned, no peer is live, or a lease's term has passed. */
 async function handOverShards({settings, clock}: Base, {ownership, peers}: FleetParts) {
 	const until = clock.now() + settings.timings.leaseTtlMs
 	while (ownership.ownedCount() > 0 && peers.live().length > 0 && clock.now() < until) {
-		ownership.nudge()
+		ownership.checkSoon()
 		await clock.sleep(HANDOVER_POLL_MS)
 	}
 }
@@ -32,16 +32,17 @@
 	state.draining = true
 	log.info("Draining: reporting not ready and handing over shards.")
 	await Promise.race([fleet.session.announceDraining(), clock.sleep(timings.storeTimeoutMs)])
-	fleet.ownership.nudge()
-	dispatch.board.assign()
+	fleet.ownership.checkSoon()
+	dispatch.targetRegistry.assign()
 	await clock.sleep(timings.drainGraceMs)
 	const idle = Promise.all([http.close(), handOverShards(base, fleet), dispatch.owner.whenIdle()])
 	const limit = clock.sleep(timings.drainLimitMs).then(() => "limit" as const)
 	const how = await Promise.race([idle.then(() => "idle" as const), limit])
 	if (how === "limit") log.warn("Drain time limit reached with work still in flight.")
 	await fleet.session.end()
-	await dispatch.peerServer.close(CLOSE_MS)
-	for (const part of [fleet.ownership, fleet.view, dispatch.board, fleet.peers]) part.stop()
+	await dispatch.peerServer.close(PEER_SERVER_CLOSE_MS)
+	for (const part of [fleet.ownership, fleet.view, dispatch.targetRegistry, fleet.peers])
+		part.stop()
 	await Promise.all([fleet.store.close(), dispatch.clients.close()])
 	base.metrics.close()
 	log.info("Drained.")
--- a/packages/entry/src/core/fleet-parts.ts
+++ b/packages/entry/src/core/fleet-parts.ts
@@ -4,7 +4,7 @@
  */
 import type {Config, Owner, SessionId, VersionedConfig} from "@cottonwood/core"
 import {unpackJson, type HeartbeatMessage} from "@cottonwood/wire"
-import {createConfigKeeper} from "../fleet/config-keeper.js"
+import {createConfigStore} from "../fleet/config-store.js"
 import {createLiveView, type SessionInfo} from "../fleet/live-view.js"
 import {createOwnershipLoop} from "../fleet/ownership-loop.js"
 import {createSession} from "../fleet/session.js"
@@ -50,13 +50,13 @@
 	let listed: readonly ListedEntry[] = []
 
 	const store = createStore({url: storeUrl, timeoutMs: timings.storeTimeoutMs, metrics})
-	const config = createConfigKeeper({
+	const config = createConfigStore({
 		store,
 		clock,
 		log: logOf(log, "config"),
 		metrics,
 		onChange() {
-			peers.announce()
+			peers.heartbeatNow()
 			hooks.onConfig()
 		},
 	})
@@ -70,9 +70,9 @@
 		log: logOf(log, "store"),
 		onChange() {
 			const item = view.config()
-			if (item) config.offer(item.value as VersionedConfig, "the store")
+			if (item) config.applyIfNewer(item.value as VersionedConfig, "the store")
 			peers.update(view.sessions().values(), listed)
-			ownership.nudge()
+			ownership.checkSoon()
 		},
 	})
 
@@ -89,7 +89,7 @@
 		fleetSize: () => Math.max(1, view.sessions().size),
 		retentionMs,
 		onLost: () => ownership.dropAll(),
-		onOpen: () => ownership.nudge(),
+		onOpen: () => ownership.checkSoon(),
 	})
 
 	const ownership = createOwnershipLoop({
@@ -118,7 +118,7 @@
 		if (version <= (config.current()?.version ?? 0)) return
 		peer.client.getConfig({}, (error, reply) => {
 			if (error || !reply || reply.config.length === 0) return
-			config.offer(unpackJson(reply.config) as VersionedConfig, `peer ${peer.instance}`)
+			config.applyIfNewer(unpackJson(reply.config) as VersionedConfig, `peer ${peer.instance}`)
 		})
 	}
 
@@ -146,7 +146,7 @@
 		ownership,
 		peers,
 		describe,
-		noteListed(entries: readonly ListedEntry[]) {
+		updateListed(entries: readonly ListedEntry[]) {
 			listed = entries
 			peers.update(view.sessions().values(), entries)
 		},
--- a/packages/entry/src/core/operators-view.ts
+++ b/packages/entry/src/core/operators-view.ts
@@ -15,12 +15,12 @@
 	readonly cause: string
 }
 
-const EXPLAIN_MS = 1_000
-const GAUGE_MS = 1_000
+const EXPLAIN_TIMEOUT_MS = 1_000
+const GAUGE_INTERVAL_MS = 1_000
 
 function explainAt(peer: Peer, key: SubmissionKey): Promise<readonly LocatedStep[]> {
 	return new Promise(resolve => {
-		const deadline = Date.now() + EXPLAIN_MS
+		const deadline = Date.now() + EXPLAIN_TIMEOUT_MS
 		peer.client.explain({key, waitMs: 0}, {deadline}, (error, reply) => {
 			if (error || !reply) return resolve([])
 			resolve(reply.steps.map(step => ({...step, instance: reply.instance})))
@@ -65,11 +65,11 @@
 	return [self, ...others]
 }
 
-export function describeTargets({board}: DispatchParts, type: "executor" | "worker") {
-	return board
+export function describeTargets({targetRegistry}: DispatchParts, type: "executor" | "worker") {
+	return targetRegistry
 		.all()
 		.filter(target => target.type === type)
-		.map(target => ({...target, placer: board.placerOf(target) ?? null}))
+		.map(target => ({...target, placer: targetRegistry.placerOf(target) ?? null}))
 }
 
 /** Updates the gauges every second until the process ends. */
@@ -87,6 +87,6 @@
 		metrics.gauge("store.silent_ms", fleet.store.silentMs())
 		metrics.gauge("config.age_ms", fleet.config.inForceMs())
 		metrics.gauge("memory.rss_bytes", process.memoryUsage.rss())
-	}, GAUGE_MS)
+	}, GAUGE_INTERVAL_MS)
 	timer.unref()
 }
--- a/packages/entry/src/dispatch/forwarding.ts
+++ b/packages/entry/src/dispatch/forwarding.ts
@@ -9,7 +9,7 @@
 export interface ForwardDeps {
 	readonly clock: Clock
 	readonly peers: PeerTable
-	readonly textsOf: (attempt: Attempt) => SelectorTexts
+	readonly selectorTextsOf: (attempt: Attempt) => SelectorTexts
 	readonly settle: (id: string, result: AttemptResult) => void
 	readonly count: (name: string, by?: number) => void
 }
@@ -19,30 +19,30 @@
 /** Sends attempts to a peer and settles each once, as `unknown` when the stream breaks. */
 export function forwardAttempts(deps: ForwardDeps, instance: string, attempts: readonly Attempt[]) {
 	const peer = deps.peers.byInstance(instance)
-	const open = new Set(attempts.map(attempt => attempt.id))
+	const unsettled = new Set(attempts.map(attempt => attempt.id))
 	if (!peer) {
-		for (const id of open) {
+		for (const id of unsettled) {
 			deps.settle(id, {type: "not started", reason: "refused", detail: `no peer ${instance}`})
 		}
 		return
 	}
 	deps.count("forwarded.attempts", attempts.length)
 	const now = deps.clock.now()
-	const longestMs = Math.max(...attempts.map(attempt => attempt.deadlineAt - now))
+	const longestRemainingMs = Math.max(...attempts.map(attempt => attempt.deadlineAt - now))
 	const messages = attempts.map(attempt =>
-		toAttemptMessage(attempt, deps.textsOf(attempt), attempt.deadlineAt - now),
+		toAttemptMessage(attempt, deps.selectorTextsOf(attempt), attempt.deadlineAt - now),
 	)
-	const deadline = Date.now() + longestMs + CALL_SLACK_MS
+	const deadline = Date.now() + longestRemainingMs + CALL_SLACK_MS
 	const call = peer.client.run({attempts: messages}, {deadline})
-	const settleRest = (detail: string) => {
-		for (const id of open) deps.settle(id, {type: "unknown", detail})
-		open.clear()
+	const settleRemaining = (detail: string) => {
+		for (const id of unsettled) deps.settle(id, {type: "unknown", detail})
+		unsettled.clear()
 	}
 	call.on("data", (event: RunEvent__Output) => {
-		if (!open.delete(event.id)) return deps.count("wasted.late_answer")
-		deps.peers.noteRoom(instance, event.pool, event.free)
+		if (!unsettled.delete(event.id)) return deps.count("wasted.late_answer")
+		deps.peers.onRoomReport(instance, event.pool, event.free)
 		deps.settle(event.id, fromRunEvent(event))
 	})
-	call.on("error", error => settleRest(`${instance}: ${error.message}`))
-	call.on("end", () => settleRest(`${instance} closed the stream without an answer`))
+	call.on("error", error => settleRemaining(`${instance}: ${error.message}`))
+	call.on("end", () => settleRemaining(`${instance} closed the stream without an answer`))
 }
--- a/packages/entry/src/dispatch/find.ts
+++ b/packages/entry/src/dispatch/local-lookup.ts
@@ -16,7 +16,7 @@
 	| {readonly type: "unknown key"}
 
 /** Returns the outcome, or `running` when there is none within `waitMs` milliseconds. */
-export async function findHere(
+export async function findLocally(
 	owner: Owner,
 	clock: Clock,
 	key: SubmissionKey,
--- a/packages/entry/src/dispatch/plans.ts
+++ b/packages/entry/src/dispatch/plans.ts
@@ -25,26 +25,26 @@
 
 const SLOT: Resources = Object.freeze({cpu: 1, memoryMb: 0, accelerators: 0})
 
-/** Cache of parsed selectors by text; cleared when it holds `MAX_PARSED`. */
-const parsed = new Map<string, Selector>()
-const texts = new WeakMap<Selector, string>()
-const MAX_PARSED = 1_000
+/** Cache of parsed selectors by text; cleared when it holds `MAX_PARSED_SELECTORS`. */
+const parsedSelectors = new Map<string, Selector>()
+const selectorTexts = new WeakMap<Selector, string>()
+const MAX_PARSED_SELECTORS = 1_000
 
 /** Returns the parsed selector; invalid text gives an empty one. */
 export function selectorOf(text: string): Selector {
-	let selector = parsed.get(text)
+	let selector = parsedSelectors.get(text)
 	if (!selector) {
-		if (parsed.size >= MAX_PARSED) parsed.clear()
+		if (parsedSelectors.size >= MAX_PARSED_SELECTORS) parsedSelectors.clear()
 		selector = parseSelector(text).unwrapOr([])
-		parsed.set(text, selector)
-		texts.set(selector, text)
+		parsedSelectors.set(text, selector)
+		selectorTexts.set(selector, text)
 	}
 	return selector
 }
 
 /** Returns the text of a selector from `selectorOf`, or an empty text for any other selector. */
-export function textOf(selector: Selector): string {
-	return texts.get(selector) ?? ""
+export function selectorText(selector: Selector): string {
+	return selectorTexts.get(selector) ?? ""
 }
 
 function joinSelectors(first: string, second: string): string {
@@ -107,10 +107,10 @@
 	]
 }
 
-const COME_BACK_MS = 1_000
+const RETRY_AFTER_MS = 1_000
 
 function noCapacity(detail: string): Result<void, DispatchError> {
-	return fail("no_capacity", detail, {retryAfterMs: addJitterMs(COME_BACK_MS, Math.random)})
+	return fail("no_capacity", detail, {retryAfterMs: addJitterMs(RETRY_AFTER_MS, Math.random)})
 }
 
 /** Fails when no listed worker can run the task now (`no_capacity`) or ever (`cannot_run`). */
--- a/packages/entry/src/dispatch/router.ts
+++ b/packages/entry/src/dispatch/router.ts
@@ -19,7 +19,7 @@
 	type SubmissionKey,
 } from "@cottonwood/core"
 import {packJson} from "@cottonwood/wire"
-import {findHere, type FindResult} from "./find.js"
+import {findLocally, type FindResult} from "./local-lookup.js"
 import type {LiveView} from "../fleet/live-view.js"
 import {fromOutcomeReply} from "../peers/messages.js"
 import type {Peer, PeerTable} from "../peers/peer-table.js"
@@ -43,20 +43,20 @@
 	readonly owner: () => Owner
 	readonly selfSession: () => string | undefined
 	readonly isOwned: (shard: number) => boolean
-	readonly runHere: (submission: Submission) => Promise<Outcome>
+	readonly runLocally: (submission: Submission) => Promise<Outcome>
 	readonly explainer: Explainer
 	readonly metrics: Metrics
-	readonly patienceMs: number
+	readonly ownerRetryMs: number
 }
 
 const RETRY_BASE_MS = 20
 const RETRY_CAP_MS = 500
-const COME_BACK_MS = 1_000
+const RETRY_AFTER_MS = 1_000
 const CALL_SLACK_MS = 500
 /** Retries end after this long without the store, since ownership cannot change without it. */
-const STORE_SILENCE_MS = 3_000
+const MAX_STORE_SILENCE_MS = 3_000
 
-type Place =
+type OwnerLocation =
 	{readonly type: "here"} | {readonly type: "peer"; readonly peer: Peer} | {readonly type: "none"}
 
 /** Sends a submission to a peer; returns undefined when no answer arrives. */
@@ -98,7 +98,7 @@
 export function createRouter(deps: RouterDeps): Router {
 	const {clock, explainer} = deps
 
-	function placeOf(key: SubmissionKey): Place {
+	function locateOwner(key: SubmissionKey): OwnerLocation {
 		const shard = shardOf(key)
 		if (deps.isOwned(shard)) return {type: "here"}
 		const session = deps.view.ownership().map?.shards[shard]?.owner
@@ -107,30 +107,30 @@
 		return peer ? {type: "peer", peer} : {type: "none"}
 	}
 
-	async function offer(submission: Submission): Promise<Outcome> {
-		const place = placeOf(submission.head.key)
-		if (place.type === "here") return deps.owner().submit(submission)
-		if (place.type === "none") {
+	async function submitOnce(submission: Submission): Promise<Outcome> {
+		const location = locateOwner(submission.head.key)
+		if (location.type === "here") return deps.owner().submit(submission)
+		if (location.type === "none") {
 			return outcomeOf(new DispatchError("moved", "the shard has no owner yet"))
 		}
-		explainer.add(submission.head.key, "forwarded", `to its owner ${place.peer.instance}`)
+		explainer.add(submission.head.key, "forwarded", `to its owner ${location.peer.instance}`)
 		deps.metrics.count("forwarded.submission")
 		const remainingMs = submission.head.deadlineAt - clock.now()
-		const outcome = await callSubmit(place.peer, submission, remainingMs)
+		const outcome = await callSubmit(location.peer, submission, remainingMs)
 		if (outcome) return outcome
-		const detail = `${place.peer.instance} did not answer`
+		const detail = `${location.peer.instance} did not answer`
 		return outcomeOf(new DispatchError("owner_unreachable", detail))
 	}
 
 	/** Whether a retry may reach an owner that can decide. */
-	function isWorthRetrying(outcome: Outcome): boolean {
+	function isRetryable(outcome: Outcome): boolean {
 		if (outcome.ok) return false
 		return outcome.kind === "moved" || outcome.kind === "owner_unreachable"
 	}
 
-	function giveUp(outcome: Outcome): Outcome {
+	function withRetryAfter(outcome: Outcome): Outcome {
 		if (outcome.ok || !isRetryableWithSameId(outcome)) return outcome
-		const retryAfterMs = outcome.retryAfterMs ?? addJitterMs(COME_BACK_MS, deps.random)
+		const retryAfterMs = outcome.retryAfterMs ?? addJitterMs(RETRY_AFTER_MS, deps.random)
 		return {...outcome, retryAfterMs}
 	}
 
@@ -141,15 +141,15 @@
 
 	async function submitToOwner(submission: Submission): Promise<Outcome> {
 		const {deadlineAt} = submission.head
-		const until = Math.min(deadlineAt, clock.now() + deps.patienceMs)
+		const until = Math.min(deadlineAt, clock.now() + deps.ownerRetryMs)
 		for (let attempt = 0; ; attempt++) {
-			const outcome = await offer(submission)
-			if (!isWorthRetrying(outcome)) return giveUp(outcome)
+			const outcome = await submitOnce(submission)
+			if (!isRetryable(outcome)) return withRetryAfter(outcome)
 			const pauseMs = backoffMs(attempt, RETRY_BASE_MS, RETRY_CAP_MS, deps.random)
-			const isHopeless = deps.storeSilentMs() > STORE_SILENCE_MS
-			if (isHopeless || clock.now() + pauseMs >= until) {
+			const isStoreSilent = deps.storeSilentMs() > MAX_STORE_SILENCE_MS
+			if (isStoreSilent || clock.now() + pauseMs >= until) {
 				deps.metrics.count("refusal.owner_unreachable")
-				return giveUp(toOwnerUnreachable(outcome))
+				return withRetryAfter(toOwnerUnreachable(outcome))
 			}
 			deps.metrics.count(`retry.${(outcome as {kind: string}).kind}`)
 			await clock.sleep(pauseMs)
@@ -160,23 +160,26 @@
 		async submit(submission) {
 			const {key, repeatable} = submission.head
 			explainer.add(key, "received", `a ${submission.type}, ${repeatable ? "" : "not "}repeatable`)
-			if (submission.type === "request" && repeatable) return deps.runHere(submission)
+			if (submission.type === "request" && repeatable) return deps.runLocally(submission)
 			return submitToOwner(submission)
 		},
 		async find(key, waitMs) {
-			const place = placeOf(key)
-			if (place.type !== "peer") return findHere(deps.owner(), clock, key, waitMs)
-			const found = await callFind(place.peer, key, waitMs)
+			const location = locateOwner(key)
+			if (location.type !== "peer") return findLocally(deps.owner(), clock, key, waitMs)
+			const found = await callFind(location.peer, key, waitMs)
 			if (found) return found
-			const error = new DispatchError("owner_unreachable", `${place.peer.instance} did not answer`)
-			return {type: "outcome", outcome: giveUp(outcomeOf(error))}
+			const error = new DispatchError(
+				"owner_unreachable",
+				`${location.peer.instance} did not answer`,
+			)
+			return {type: "outcome", outcome: withRetryAfter(outcomeOf(error))}
 		},
 		async cancel(key) {
-			const place = placeOf(key)
-			if (place.type !== "peer") return deps.owner().cancel(key)
+			const location = locateOwner(key)
+			if (location.type !== "peer") return deps.owner().cancel(key)
 			return new Promise(resolve => {
-				const deadline = Date.now() + COME_BACK_MS * 5
-				place.peer.client.cancel({key}, {deadline}, (error, reply) =>
+				const deadline = Date.now() + RETRY_AFTER_MS * 5
+				location.peer.client.cancel({key}, {deadline}, (error, reply) =>
 					resolve(error || !reply ? undefined : fromOutcomeReply(reply)),
 				)
 			})
--- a/packages/entry/src/dispatch/targets.ts
+++ b/packages/entry/src/dispatch/target-registry.ts
@@ -6,7 +6,7 @@
 import type {Log} from "../utils/log.js"
 import type {Metrics} from "../utils/metrics.js"
 
-export interface TargetBoard {
+export interface TargetRegistry {
 	start(): void
 	stop(): void
 	/** All listed targets of all failure domains. */
@@ -17,14 +17,14 @@
 	placerOf(target: Target): string | undefined
 }
 
-export interface TargetBoardDeps {
+export interface TargetRegistryDeps {
 	readonly instance: string
 	readonly failureDomain: string
 	readonly list: InstanceList
 	readonly clock: Clock
 	readonly log: Log
 	readonly metrics: Metrics
-	readonly everyMs: number
+	readonly pollMs: number
 	readonly isDraining: () => boolean
 	/** Whether operators have evacuated a failure domain. */
 	readonly isEvacuated: (failureDomain: string) => boolean
@@ -36,18 +36,18 @@
 }
 
 /** Targets stay for this long after they leave the list, since lists lag. */
-const GONE_MS = 10_000
+const UNLISTED_GRACE_MS = 10_000
 
-export function createTargetBoard(deps: TargetBoardDeps): TargetBoard {
+export function createTargetRegistry(deps: TargetRegistryDeps): TargetRegistry {
 	const {clock} = deps
-	let known = new Map<string, {readonly target: Target; seenAt: number}>()
+	let knownTargets = new Map<string, {readonly target: Target; seenAt: number}>()
 	let lastListing: InstanceListing | undefined
 	let targets: readonly Target[] = []
 	let placers: ReadonlyMap<string, string> = new Map()
 	let isStopped = false
 
 	/** Returns the live instances that may place targets of a failure domain, preferring its own. */
-	function placersFor(failureDomain: string): readonly string[] {
+	function placerCandidates(failureDomain: string): readonly string[] {
 		const isOwn = failureDomain === deps.failureDomain
 		const self = deps.isDraining() ? [] : [deps.instance]
 		const near = [...deps.livePeersIn(failureDomain), ...(isOwn ? self : [])]
@@ -55,7 +55,7 @@
 	}
 
 	/** Marks targets of an evacuated domain as leaving: running tasks finish, new ones go elsewhere. */
-	function asUsed(target: Target): Target {
+	function withEvacuation(target: Target): Target {
 		return deps.isEvacuated(target.failureDomain) ? {...target, state: "leaving"} : target
 	}
 
@@ -68,7 +68,7 @@
 		}
 		const all = new Map<string, string>()
 		for (const group of groups.values()) {
-			const members = placersFor(group[0]!.failureDomain)
+			const members = placerCandidates(group[0]!.failureDomain)
 			const ids = group.map(target => target.id)
 			for (const [id, member] of assignEvenly(ids, members)) all.set(id, member)
 		}
@@ -78,17 +78,17 @@
 	function assign() {
 		placers = assignAll()
 		const mine = targets.filter(target => placers.get(target.id) === deps.instance)
-		deps.scheduler.setTargets(mine.map(asUsed))
+		deps.scheduler.setTargets(mine.map(withEvacuation))
 		deps.metrics.gauge("targets.placed", mine.length)
 	}
 
-	function take(listing: InstanceListing) {
+	function applyListing(listing: InstanceListing) {
 		const now = clock.now()
 		const next = new Map(listing.targets.map(target => [target.id, {target, seenAt: now}]))
-		for (const [id, item] of known) {
-			if (!next.has(id) && now - item.seenAt <= GONE_MS) next.set(id, item)
+		for (const [id, item] of knownTargets) {
+			if (!next.has(id) && now - item.seenAt <= UNLISTED_GRACE_MS) next.set(id, item)
 		}
-		known = next
+		knownTargets = next
 		targets = [...next.values()].map(({target}) => target)
 		if (listing.malformed > 0) deps.metrics.count("list.malformed", listing.malformed)
 		deps.onEntries(listing.entries)
@@ -98,9 +98,10 @@
 
 	/** An unchanged list only renews its targets, unless unlisted ones are still due to expire. */
 	function refresh(listing: InstanceListing, answer: InstanceListing | "unchanged") {
-		if (answer !== "unchanged" || known.size > listing.targets.length) return take(listing)
+		if (answer !== "unchanged" || knownTargets.size > listing.targets.length)
+			return applyListing(listing)
 		const now = clock.now()
-		for (const item of known.values()) item.seenAt = now
+		for (const item of knownTargets.values()) item.seenAt = now
 	}
 
 	async function loop() {
@@ -109,14 +110,14 @@
 			if (answer === undefined) deps.metrics.count("list.no_answer")
 			else if (answer !== "unchanged") lastListing = answer
 			if (lastListing && answer !== undefined && !isStopped) refresh(lastListing, answer)
-			await clock.sleep(deps.everyMs)
+			await clock.sleep(deps.pollMs)
 		}
 	}
 
 	return {
 		start: () => void loop(),
 		stop: () => void (isStopped = true),
-		all: () => targets.map(asUsed),
+		all: () => targets.map(withEvacuation),
 		assign,
 		placerOf: target => placers.get(target.id),
 	}
--- a/packages/entry/src/fleet/config-keeper.ts
+++ b/packages/entry/src/fleet/config-store.ts
@@ -18,10 +18,10 @@
 import type {Metrics} from "../utils/metrics.js"
 import {CONFIG_KEY, HISTORY_PREFIX, historyKey} from "./keys.js"
 
-export interface ConfigKeeper {
+export interface ConfigStore {
 	current(): VersionedConfig | undefined
 	/** Puts a version in force if it is valid and newer; returns whether it did. */
-	offer(candidate: VersionedConfig, source: string): boolean
+	applyIfNewer(candidate: VersionedConfig, source: string): boolean
 	/**
 	 * Writes a new version if the current one is still `expected`. Fails with `config_conflict` when another
 	 * change won, and with `config_unknown` when it cannot be known which did.
@@ -37,7 +37,7 @@
 	inForceMs(): number
 }
 
-export interface ConfigKeeperDeps {
+export interface ConfigStoreDeps {
 	readonly store: Store
 	readonly clock: Clock
 	readonly log: Log
@@ -45,15 +45,15 @@
 	readonly onChange: (config: Config) => void
 }
 
-const PUT_TRIES = 6
+const MAX_PUT_ATTEMPTS = 6
 const PUT_PAUSE_MS = 150
 
-export function createConfigKeeper(deps: ConfigKeeperDeps): ConfigKeeper {
+export function createConfigStore(deps: ConfigStoreDeps): ConfigStore {
 	const {store, clock} = deps
 	let current: VersionedConfig | undefined
 	let inForceSince = 0
 
-	function offer(candidate: VersionedConfig, source: string): boolean {
+	function applyIfNewer(candidate: VersionedConfig, source: string): boolean {
 		if (!isNewer(candidate, current)) return false
 		const checked = parseConfig(candidate.config)
 		if (checked.isErr()) {
@@ -75,7 +75,7 @@
 	/** Copies the current version to the history; false when the store does not confirm it. */
 	async function archive(item: StoreItem): Promise<boolean> {
 		const value = item.value as VersionedConfig
-		for (let attempt = 0; attempt < PUT_TRIES; attempt++) {
+		for (let attempt = 0; attempt < MAX_PUT_ATTEMPTS; attempt++) {
 			const kept = await store.put(historyKey(value.version), value, {expect: 0})
 			if (kept.type === "done" || kept.type === "conflict") return true
 			deps.metrics.count("retry.config_archive")
@@ -93,7 +93,7 @@
 	}
 
 	/** Reads from the store whether a write of unknown outcome won; `open` when it cannot tell. */
-	async function judge(mine: VersionedConfig): Promise<"accepted" | "open" | DispatchError> {
+	async function resolveWrite(mine: VersionedConfig): Promise<"accepted" | "open" | DispatchError> {
 		const item = await store.get(CONFIG_KEY)
 		if (item === undefined) return "open"
 		const present = item?.value as VersionedConfig | undefined
@@ -109,10 +109,10 @@
 
 	/** Retries one compare-and-swap until its outcome is known. */
 	async function write(mine: VersionedConfig, revision: number) {
-		for (let attempt = 0; attempt < PUT_TRIES; attempt++) {
+		for (let attempt = 0; attempt < MAX_PUT_ATTEMPTS; attempt++) {
 			const result = await store.put(CONFIG_KEY, mine, {expect: revision})
 			if (result.type === "done") return ok(mine)
-			const verdict = await judge(mine)
+			const verdict = await resolveWrite(mine)
 			if (verdict === "accepted") return ok(mine)
 			if (verdict !== "open") return err(verdict)
 			deps.metrics.count("retry.config_put")
@@ -123,7 +123,7 @@
 
 	return {
 		current: () => current,
-		offer,
+		applyIfNewer,
 		async put(raw, expected, author) {
 			const checked = parseConfig(raw)
 			if (checked.isErr()) return err(checked.error)
@@ -148,7 +148,7 @@
 				config: checked.value,
 			}
 			const written = await write(mine, item?.revision ?? 0)
-			if (written.isOk()) offer(mine, "an operator here")
+			if (written.isOk()) applyIfNewer(mine, "an operator here")
 			return written
 		},
 		async history() {
--- a/packages/entry/src/fleet/live-view.ts
+++ b/packages/entry/src/fleet/live-view.ts
@@ -41,7 +41,7 @@
 }
 
 /** With the call's timeout, limits how long changes are missed on a connection that went silent. */
-const WATCH_MS = 2_000
+const WATCH_TIMEOUT_MS = 2_000
 const RETRY_BASE_MS = 100
 const RETRY_CAP_MS = 2_000
 
@@ -73,7 +73,7 @@
 	}
 
 	async function watchOnce(): Promise<boolean> {
-		const change = await store.watch(LIVE_PREFIX, revision, WATCH_MS)
+		const change = await store.watch(LIVE_PREFIX, revision, WATCH_TIMEOUT_MS)
 		if (!change) return false
 		if (change.revision < revision) return true
 		revision = change.revision
--- a/packages/entry/src/fleet/ownership-loop.ts
+++ b/packages/entry/src/fleet/ownership-loop.ts
@@ -29,7 +29,7 @@
 	start(): void
 	stop(): void
 	/** Checks the assignment soon rather than at the next tick; no effect during a check. */
-	nudge(): void
+	checkSoon(): void
 	isOwned(shard: number): boolean
 	ownedCount(): number
 	/** Drops all shards at once, because the session is lost. */
@@ -50,8 +50,8 @@
 
 type Moves = readonly {readonly shard: number; readonly to: SessionId}[]
 
-const TICK_MS = 1_000
-const SETTLE_MS = 150
+const CHECK_INTERVAL_MS = 1_000
+const MAX_CHECK_DELAY_MS = 150
 const RETRY_BASE_MS = 50
 const RETRY_CAP_MS = 1_000
 
@@ -85,16 +85,16 @@
 	}
 
 	async function move(map: OwnershipMap, revision: number, moves: Moves): Promise<boolean> {
-		const keptMs = 2 * deps.retentionMs()
-		const next = moveShards(map, moves, randomUUID(), clock.wallNow(), keptMs)
+		const keepPastMs = 2 * deps.retentionMs()
+		const next = moveShards(map, moves, randomUUID(), clock.wallNow(), keepPastMs)
 		const isWritten = await writeMap(next, revision)
 		await view.refresh()
-		if (isWritten) void trimForgotten(map, next)
+		if (isWritten) void trimUnreferenced(map, next)
 		return isWritten
 	}
 
 	/** Trims the journals of sessions that the map no longer names. */
-	async function trimForgotten(before: OwnershipMap, after: OwnershipMap) {
+	async function trimUnreferenced(before: OwnershipMap, after: OwnershipMap) {
 		const all = before.shards.map((_, index) => index)
 		const kept = new Set(pastSessions(after, all))
 		for (const past of pastSessions(before, all)) {
@@ -187,10 +187,10 @@
 				deps.log.error(`Ownership check failed: ${String(error)}.`),
 			)
 			await new Promise<void>(resolve => {
-				const cancel = clock.schedule(TICK_MS, resolve)
+				const cancel = clock.schedule(CHECK_INTERVAL_MS, resolve)
 				wake = () => {
 					cancel()
-					clock.schedule(SETTLE_MS * deps.random(), resolve)
+					clock.schedule(MAX_CHECK_DELAY_MS * deps.random(), resolve)
 				}
 			})
 			wake = undefined
@@ -203,7 +203,7 @@
 			isStopped = true
 			wake?.()
 		},
-		nudge: () => wake?.(),
+		checkSoon: () => wake?.(),
 		isOwned: shard => owned.has(shard),
 		ownedCount: () => owned.size,
 		dropAll: () => owned.clear(),
--- a/packages/entry/src/fleet/session.ts
+++ b/packages/entry/src/fleet/session.ts
@@ -48,10 +48,10 @@
 
 const LAZY_MS = 300
 const OPEN_RETRY_MS = 500
-const KEEPALIVES_PER_TERM = 3
-const TRIM_MS = 30_000
+const KEEPALIVES_PER_LEASE = 3
+const TRIM_INTERVAL_MS = 30_000
 
-interface Open {
+interface OpenSession {
 	readonly id: SessionId
 	readonly lease: string
 	readonly journal: Journal
@@ -61,7 +61,7 @@
 
 export function createSession(deps: SessionDeps): Session {
 	const {store, clock} = deps
-	let open: Open | undefined
+	let open: OpenSession | undefined
 	let lastJournal: Journal | undefined
 	let isEnded = false
 
@@ -77,7 +77,7 @@
 				return createEntry(store, id, seq, entry)
 			},
 			spacingMs: () => writeSpacingMs(deps.fleetWritesPerSecond(), deps.fleetSize()),
-			onSealed: () => lose(id, "its journal was sealed by a successor"),
+			onSealed: () => markLost(id, "its journal was sealed by a successor"),
 			onWrite: (result, tookMs, records) => {
 				deps.metrics.count(`journal.write.${result}`)
 				if (result === "created") deps.metrics.count("journal.records", records)
@@ -86,7 +86,7 @@
 		})
 	}
 
-	async function openOne(): Promise<boolean> {
+	async function openSession(): Promise<boolean> {
 		const lease = await store.grantLease(deps.leaseTtlMs)
 		if (lease === undefined) return false
 		const info = deps.describe("")
@@ -102,7 +102,7 @@
 		return true
 	}
 
-	function lose(id: SessionId, cause: string) {
+	function markLost(id: SessionId, cause: string) {
 		if (open?.id !== id) return
 		open = undefined
 		deps.metrics.count("session.lost")
@@ -110,12 +110,12 @@
 		deps.onLost(id)
 	}
 
-	async function keepAlive(current: Open) {
+	async function keepAlive(current: OpenSession) {
 		const result = await store.keepAlive(current.lease)
-		if (result === "gone") lose(current.id, "its lease lapsed")
+		if (result === "gone") markLost(current.id, "its lease lapsed")
 	}
 
-	async function trim(current: Open) {
+	async function trim(current: OpenSession) {
 		const newest = Math.max(-1, ...current.segmentStarts.keys())
 		const oldest = clock.now() - 2 * deps.retentionMs()
 		for (const [segment] of current.segmentStarts) {
@@ -131,14 +131,14 @@
 		let trimmedAt = clock.now()
 		while (!isEnded) {
 			if (!open) {
-				const isOpen = await openOne()
+				const isOpen = await openSession()
 				if (!isOpen) await clock.sleep(OPEN_RETRY_MS * (1 + deps.random()))
 				continue
 			}
-			await clock.sleep(deps.leaseTtlMs / KEEPALIVES_PER_TERM)
+			await clock.sleep(deps.leaseTtlMs / KEEPALIVES_PER_LEASE)
 			if (isEnded || !open) continue
 			await keepAlive(open)
-			if (!open || clock.now() - trimmedAt < TRIM_MS) continue
+			if (!open || clock.now() - trimmedAt < TRIM_INTERVAL_MS) continue
 			trimmedAt = clock.now()
 			await trim(open)
 		}
--- a/packages/entry/src/http/app.ts
+++ b/packages/entry/src/http/app.ts
@@ -5,7 +5,7 @@
 import {serve, type ServerType} from "@hono/node-server"
 import {Hono} from "hono"
 import type {Router} from "../dispatch/router.js"
-import type {ConfigKeeper} from "../fleet/config-keeper.js"
+import type {ConfigStore} from "../fleet/config-store.js"
 import type {Log} from "../utils/log.js"
 import type {Metrics} from "../utils/metrics.js"
 import {addOperatorRoutes} from "./operators.js"
@@ -15,7 +15,7 @@
 export interface HttpDeps {
 	readonly clock: Clock
 	readonly router: Router
-	readonly configKeeper: ConfigKeeper
+	readonly configStore: ConfigStore
 	readonly metrics: Metrics
 	readonly log: Log
 	readonly bodyBytes: number
--- a/packages/entry/src/http/operators.ts
+++ b/packages/entry/src/http/operators.ts
@@ -10,12 +10,12 @@
 const AUTHOR_HEADER = "cottonwood-author"
 
 function addConfigRoutes(app: Hono, deps: HttpDeps) {
-	const {configKeeper} = deps
+	const {configStore} = deps
 
 	app.get("/v1/config", c => {
-		const current = configKeeper.current()
+		const current = configStore.current()
 		if (!current) return sendError(c, new DispatchError("no_configuration", "none is in force"))
-		const inForceMs = Math.round(configKeeper.inForceMs())
+		const inForceMs = Math.round(configStore.inForceMs())
 		const storeSilentMs = Math.round(deps.storeSilentMs())
 		return c.json({...current, inForceMs, storeSilentMs}, 200, {etag: `"${current.version}"`})
 	})
@@ -35,7 +35,7 @@
 			return sendError(c, new DispatchError("not_json", (error as Error).message))
 		}
 		const author = c.req.header(AUTHOR_HEADER) ?? "unknown"
-		const result = await configKeeper.put(body, Number(match[1]), author)
+		const result = await configStore.put(body, Number(match[1]), author)
 		if (result.isErr()) {
 			deps.metrics.count(`refusal.${result.error.kind}`)
 			return sendError(c, result.error)
@@ -44,7 +44,7 @@
 	})
 
 	app.get("/v1/config/history", async c => {
-		const result = await configKeeper.history()
+		const result = await configStore.history()
 		return result.isErr() ? sendError(c, result.error) : c.json({versions: result.value})
 	})
 }
--- a/packages/entry/src/http/submissions.ts
+++ b/packages/entry/src/http/submissions.ts
@@ -72,7 +72,7 @@
 
 type Parse = (text: string, caller: Caller, config: Config) => Result<Submission, DispatchError>
 
-function headOf(
+function submissionHead(
 	caller: Caller,
 	text: string,
 	repeatable: boolean,
@@ -83,14 +83,14 @@
 
 const parseAsRequest: Parse = (text, caller, config) =>
 	parseRequest(text, config).map(({body, repeatable}) => ({
-		head: {...headOf(caller, text, repeatable), deadlineAt: 0},
+		head: {...submissionHead(caller, text, repeatable), deadlineAt: 0},
 		type: "request",
 		request: body,
 	}))
 
 const parseAsJob: Parse = (text, caller, config) =>
 	parseJob(text, config).map(({body, repeatable}) => ({
-		head: {...headOf(caller, text, repeatable), deadlineAt: 0},
+		head: {...submissionHead(caller, text, repeatable), deadlineAt: 0},
 		type: "job",
 		job: body,
 	}))
@@ -110,8 +110,8 @@
 	}
 
 	async function answer(c: Context, submission: Submission, id: string) {
-		const leftMs = submission.head.deadlineAt - clock.now()
-		const waitMs = Math.min(leftMs, readWaitMs(c) ?? leftMs)
+		const remainingMs = submission.head.deadlineAt - clock.now()
+		const waitMs = Math.min(remainingMs, readWaitMs(c) ?? remainingMs)
 		let cancelTimer: (() => void) | undefined
 		const timeout = new Promise<undefined>(resolve => {
 			cancelTimer = clock.schedule(waitMs, () => resolve(undefined))
@@ -119,8 +119,8 @@
 		const outcome = await Promise.race([router.submit(submission), timeout])
 		cancelTimer?.()
 		if (outcome) return sendOutcome(c, outcome, id)
-		const isOver = waitMs >= leftMs
-		const kind = isOver ? "deadline_exceeded" : "wait_ended"
+		const isPastDeadline = waitMs >= remainingMs
+		const kind = isPastDeadline ? "deadline_exceeded" : "wait_ended"
 		metrics.count(`refusal.${kind}`)
 		const error = new DispatchError(kind, `no outcome after ${Math.round(waitMs)} ms`, {
 			retryAfterMs: 1_000,
--- a/packages/entry/src/instance.ts
+++ b/packages/entry/src/instance.ts
@@ -34,7 +34,7 @@
 	return {
 		clock,
 		router: dispatch.router,
-		configKeeper: fleet.config,
+		configStore: fleet.config,
 		metrics,
 		log: logOf(base.log, "http"),
 		bodyBytes: settings.limits.bodyBytes,
@@ -63,10 +63,10 @@
 	const fleet: FleetParts = createFleetParts(base, {
 		owner: () => dispatch.owner,
 		rooms: () => dispatch.scheduler.rooms(),
-		onMembers: () => dispatch.board.assign(),
+		onMembers: () => dispatch.targetRegistry.assign(),
 		onRoom: (peer, pool) => dispatch.scheduler.onPeerRoomReport(peer, pool),
 		onConfig() {
-			dispatch.board.assign()
+			dispatch.targetRegistry.assign()
 			dispatch.scheduler.placeQueued()
 		},
 	})
@@ -79,7 +79,13 @@
 	const app = createApp(toHttpDeps(base, fleet, dispatch, () => void drain()))
 	const http = await listenHttp(app, {...settings.http, ...settings.limits})
 	state.httpPort = http.port
-	for (const part of [fleet.view, fleet.session, fleet.ownership, fleet.peers, dispatch.board]) {
+	for (const part of [
+		fleet.view,
+		fleet.session,
+		fleet.ownership,
+		fleet.peers,
+		dispatch.targetRegistry,
+	]) {
 		part.start()
 	}
 	startGauges(base, fleet, dispatch)
--- a/packages/entry/src/peers/peer-server.ts
+++ b/packages/entry/src/peers/peer-server.ts
@@ -25,8 +25,8 @@
 	type PeerHandlers,
 	type SubmitRequest__Output,
 } from "@cottonwood/wire"
-import {findHere} from "../dispatch/find.js"
-import type {ConfigKeeper} from "../fleet/config-keeper.js"
+import {findLocally} from "../dispatch/local-lookup.js"
+import type {ConfigStore} from "../fleet/config-store.js"
 import type {Metrics} from "../utils/metrics.js"
 import {fromAttemptMessage, toOutcomeReply, toRunEvent} from "./messages.js"
 
@@ -34,7 +34,7 @@
 	readonly clock: Clock
 	readonly owner: () => Owner
 	readonly scheduler: Scheduler
-	readonly config: ConfigKeeper
+	readonly config: ConfigStore
 	readonly explainer: Explainer
 	readonly metrics: Metrics
 	readonly instance: string
@@ -66,7 +66,7 @@
 	const {clock, owner, scheduler} = deps
 
 	async function find(key: SubmissionKey, waitMs: number) {
-		const found = await findHere(owner(), clock, key, waitMs)
+		const found = await findLocally(owner(), clock, key, waitMs)
 		if (found.type === "unknown key") return undefined
 		if (found.type === "outcome") return found.outcome
 		return outcomeOf(new DispatchError("wait_ended", "still running"))
@@ -93,12 +93,12 @@
 		},
 		Run(call) {
 			const {attempts} = call.request
-			let open = attempts.length
+			let unsettled = attempts.length
 			for (const message of attempts) {
 				const attempt = fromAttemptMessage(message, clock.now())
 				scheduler.submit(attempt, result => {
 					call.write(toRunEvent(attempt, result, scheduler.roomIn(attempt.pool)))
-					if (--open === 0) call.end()
+					if (--unsettled === 0) call.end()
 				})
 			}
 		},
--- a/packages/entry/src/peers/peer-table.ts
+++ b/packages/entry/src/peers/peer-table.ts
@@ -23,8 +23,8 @@
 	readonly client: PeerClient
 	session: SessionId
 	lastAnswerAt: number
-	beatAt: number
-	isBeating: boolean
+	lastHeartbeatAt: number
+	isHeartbeatPending: boolean
 	draining: boolean
 	configVersion: number
 	room: Map<string, number>
@@ -42,11 +42,11 @@
 	/** Returns all live peers that are not draining, as of the last check. */
 	live(): readonly string[]
 	rooms(): readonly PeerRoom[]
-	noteRoom(instance: string, pool: string, free: number): void
+	onRoomReport(instance: string, pool: string, free: number): void
 	/** Makes the next heartbeat to every peer due at once. */
-	announce(): void
+	heartbeatNow(): void
 	/** Applies a heartbeat that a peer sent. */
-	noteHeartbeat(message: HeartbeatMessage__Output): void
+	onHeartbeat(message: HeartbeatMessage__Output): void
 	all(): Iterable<Peer>
 }
 
@@ -66,9 +66,9 @@
 	readonly onNewerConfig: (peer: Peer, version: number) => void
 }
 
-const TICK_SHARE = 4
+const CHECKS_PER_HEARTBEAT = 4
 /** Multiplies the heartbeat interval and timeout for peers of other failure domains. */
-const FAR_FACTOR = 5
+const OTHER_DOMAIN_FACTOR = 5
 const HEARTBEAT_DEADLINE_MS = 1_000
 
 export function createPeerTable(deps: PeerTableDeps): PeerTable {
@@ -84,7 +84,9 @@
 	}
 
 	function isLive(peer: Peer): boolean {
-		const limitMs = isSameDomain(peer) ? deps.peerTimeoutMs : deps.peerTimeoutMs * FAR_FACTOR
+		const limitMs = isSameDomain(peer)
+			? deps.peerTimeoutMs
+			: deps.peerTimeoutMs * OTHER_DOMAIN_FACTOR
 		return clock.now() - peer.lastAnswerAt < limitMs
 	}
 
@@ -97,15 +99,15 @@
 			client: connectPeer(address),
 			session,
 			lastAnswerAt: -Infinity,
-			beatAt: -Infinity,
-			isBeating: false,
+			lastHeartbeatAt: -Infinity,
+			isHeartbeatPending: false,
 			draining: false,
 			configVersion: 0,
 			room: new Map(),
 		})
 	}
 
-	function takeHeartbeat(peer: Peer, message: HeartbeatMessage__Output) {
+	function applyReply(peer: Peer, message: HeartbeatMessage__Output) {
 		peer.lastAnswerAt = clock.now()
 		peer.draining = message.draining
 		peer.configVersion = message.configVersion
@@ -113,14 +115,14 @@
 		deps.onNewerConfig(peer, message.configVersion)
 	}
 
-	function beat(peer: Peer) {
-		peer.isBeating = true
-		peer.beatAt = clock.now()
+	function sendHeartbeat(peer: Peer) {
+		peer.isHeartbeatPending = true
+		peer.lastHeartbeatAt = clock.now()
 		const deadline = Date.now() + HEARTBEAT_DEADLINE_MS
 		peer.client.heartbeat(deps.describe(), {deadline}, (error, reply) => {
-			peer.isBeating = false
+			peer.isHeartbeatPending = false
 			if (error || !reply) return deps.metrics.count("peer.heartbeat_failed")
-			takeHeartbeat(peer, reply)
+			applyReply(peer, reply)
 			deps.onRoom(peer.instance)
 		})
 	}
@@ -134,9 +136,9 @@
 		deps.onMembers()
 	}
 
-	function liveNames(isWanted: (peer: Peer) => boolean): string[] {
+	function liveNames(predicate: (peer: Peer) => boolean): string[] {
 		return [...peers.values()]
-			.filter(peer => isLive(peer) && !peer.draining && isWanted(peer))
+			.filter(peer => isLive(peer) && !peer.draining && predicate(peer))
 			.map(peer => peer.instance)
 			.sort()
 	}
@@ -144,11 +146,14 @@
 	async function loop() {
 		while (!isStopped) {
 			for (const peer of peers.values()) {
-				const everyMs = isSameDomain(peer) ? deps.heartbeatMs : deps.heartbeatMs * FAR_FACTOR
-				if (!peer.isBeating && clock.now() - peer.beatAt >= everyMs) beat(peer)
+				const everyMs = isSameDomain(peer)
+					? deps.heartbeatMs
+					: deps.heartbeatMs * OTHER_DOMAIN_FACTOR
+				if (!peer.isHeartbeatPending && clock.now() - peer.lastHeartbeatAt >= everyMs)
+					sendHeartbeat(peer)
 			}
 			checkMembers()
-			await clock.sleep(deps.heartbeatMs / TICK_SHARE)
+			await clock.sleep(deps.heartbeatMs / CHECKS_PER_HEARTBEAT)
 		}
 	}
 
@@ -197,16 +202,16 @@
 			}
 			return rooms
 		},
-		noteRoom(instance, pool, free) {
+		onRoomReport(instance, pool, free) {
 			const peer = peers.get(instance)
 			if (!peer) return
 			peer.room.set(pool, free)
 			deps.onRoom(instance, pool)
 		},
-		announce() {
-			for (const peer of peers.values()) peer.beatAt = -Infinity
+		heartbeatNow() {
+			for (const peer of peers.values()) peer.lastHeartbeatAt = -Infinity
 		},
-		noteHeartbeat(message) {
+		onHeartbeat(message) {
 			const peer = peers.get(message.instance)
 			if (!peer) return
 			if (message.session !== "") peer.session = message.session
--- a/packages/entry/src/platform/instance-list.ts
+++ b/packages/entry/src/platform/instance-list.ts
@@ -44,7 +44,7 @@
 	readonly malformed: number
 }
 
-const TIMEOUT_MS = 2_000
+const READ_TIMEOUT_MS = 2_000
 
 function toTarget(line: Exclude<Line, {kind: "entry"}>): Target {
 	const {id, address, failureDomain, rack, state} = line
@@ -85,7 +85,7 @@
 			try {
 				const options = {
 					dispatcher: agent,
-					signal: AbortSignal.timeout(TIMEOUT_MS),
+					signal: AbortSignal.timeout(READ_TIMEOUT_MS),
 					headers: tag === undefined ? {} : {"if-none-match": tag},
 				}
 				const res = await request(`${url}/instances`, options)
--- a/packages/entry/src/targets/executor-client.ts
+++ b/packages/entry/src/targets/executor-client.ts
@@ -11,7 +11,7 @@
 export interface ExecutorClient {
 	invoke(target: Target, attempt: Attempt): Promise<AttemptResult>
 	/** Closes the connections to all other targets. */
-	keep(targets: readonly Target[]): void
+	retainOnly(targets: readonly Target[]): void
 	close(): Promise<void>
 }
 
@@ -30,7 +30,7 @@
 export function createPools(connections: number) {
 	const pools = new Map<string, Pool>()
 	return {
-		to(address: string): Pool {
+		poolFor(address: string): Pool {
 			let pool = pools.get(address)
 			if (!pool) {
 				pool = new Pool(address, {
@@ -43,7 +43,7 @@
 			}
 			return pool
 		},
-		keep(addresses: ReadonlySet<string>) {
+		retainOnly(addresses: ReadonlySet<string>) {
 			for (const [address, pool] of pools) {
 				if (addresses.has(address)) continue
 				pools.delete(address)
@@ -93,9 +93,9 @@
 	return {
 		async invoke(target, attempt) {
 			const startedAt = clock.now()
-			const leftMs = Math.max(1, Math.ceil(attempt.deadlineAt - startedAt))
+			const remainingMs = Math.max(1, Math.ceil(attempt.deadlineAt - startedAt))
 			try {
-				const res = await pools.to(target.address).request({
+				const res = await pools.poolFor(target.address).request({
 					method: "POST",
 					path: "/invoke",
 					headers: {
@@ -103,11 +103,11 @@
 						"cottonwood-attempt": attempt.id,
 						"cottonwood-submission": attempt.key,
 						"cottonwood-task": String(attempt.task),
-						"cottonwood-deadline-ms": String(leftMs),
+						"cottonwood-deadline-ms": String(remainingMs),
 					},
 					body: JSON.stringify(attempt.payload ?? null),
-					headersTimeout: leftMs,
-					bodyTimeout: leftMs,
+					headersTimeout: remainingMs,
+					bodyTimeout: remainingMs,
 				})
 				return await readAnswer(res, attempt, () => clock.now() - startedAt)
 			} catch (error) {
@@ -116,7 +116,7 @@
 				return {type: "unknown", detail}
 			}
 		},
-		keep: targets => pools.keep(new Set(targets.map(target => target.address))),
+		retainOnly: targets => pools.retainOnly(new Set(targets.map(target => target.address))),
 		close: () => pools.close(),
 	}
 }
--- a/packages/entry/src/targets/worker-client.ts
+++ b/packages/entry/src/targets/worker-client.ts
@@ -32,13 +32,13 @@
 	/** Asks the worker to stop attempts; a failed call is ignored. */
 	stop(target: Target, attempts: readonly Attempt[]): Promise<void>
 	/** Closes the connections to all other targets. */
-	keep(targets: readonly Target[]): void
+	retainOnly(targets: readonly Target[]): void
 	close(): Promise<void>
 }
 
 const CONNECTIONS_PER_WORKER = 16
-const ASK_PAUSE_MS = 250
-const MAX_FAILED_ASKS = 4
+const POLL_INTERVAL_MS = 250
+const MAX_FAILED_POLLS = 4
 const CALL_TIMEOUT_MS = 2_000
 const STREAM_SLACK_MS = 500
 
@@ -71,7 +71,7 @@
 	const pools = createPools(CONNECTIONS_PER_WORKER)
 
 	async function post(target: Target, path: string, body: object, timeoutMs: number) {
-		return pools.to(target.address).request({
+		return pools.poolFor(target.address).request({
 			method: "POST",
 			path,
 			headers: {"content-type": "application/json"},
@@ -82,16 +82,16 @@
 	}
 
 	/** Polls until the worker reports the end of each open attempt or fails to answer repeatedly. */
-	async function askFates(target: Target, open: Map<string, Attempt>, settle: Settle) {
-		let failedAsks = 0
-		while (open.size > 0 && failedAsks < MAX_FAILED_ASKS) {
-			await clock.sleep(ASK_PAUSE_MS)
-			const states = await askOnce(target, [...open.keys()])
+	async function pollStates(target: Target, open: Map<string, Attempt>, settle: Settle) {
+		let failedPolls = 0
+		while (open.size > 0 && failedPolls < MAX_FAILED_POLLS) {
+			await clock.sleep(POLL_INTERVAL_MS)
+			const states = await readStates(target, [...open.keys()])
 			if (!states) {
-				failedAsks++
+				failedPolls++
 				continue
 			}
-			failedAsks = 0
+			failedPolls = 0
 			for (const {attempt, state, event} of states) {
 				if (state === "running" || !open.delete(attempt)) continue
 				if (event) settle(attempt, resultOf(event))
@@ -103,7 +103,7 @@
 		}
 	}
 
-	async function askOnce(
+	async function readStates(
 		target: Target,
 		attempts: readonly string[],
 	): Promise<readonly AttemptState[] | undefined> {
@@ -137,7 +137,7 @@
 					return
 				}
 			}
-			if (open.size > 0) await askFates(target, open, settle)
+			if (open.size > 0) await pollStates(target, open, settle)
 		},
 		async stop(target, attempts) {
 			const ids = attempts.map(attempt => attempt.id)
@@ -145,7 +145,7 @@
 				.then(res => res.body.dump())
 				.catch(() => undefined)
 		},
-		keep: targets => pools.keep(new Set(targets.map(target => target.address))),
+		retainOnly: targets => pools.retainOnly(new Set(targets.map(target => target.address))),
 		close: () => pools.close(),
 	}
 }
