--- a/packages/entry/src/dispatch/plans.ts
+++ b/packages/entry/src/dispatch/plans.ts
@@ -142,7 +142,7 @@
 	return isServed ? ok(undefined) : noCapacity("no live executor of the endpoint is listed")
 }
 
-/** Fails when a plan has no listed target; tasks of the same shape are checked once. */
+/** Fails when a plan fits no listed target; checks tasks of the same shape once. */
 export function checkCanRun(
 	plans: readonly TaskPlan[],
 	targets: readonly Target[],
--- a/packages/entry/src/dispatch/router.ts
+++ b/packages/entry/src/dispatch/router.ts
@@ -26,7 +26,7 @@
 import type {Metrics} from "../utils/metrics.js"
 
 export interface Router {
-	/** Retries while the shard's owner changes or is unreachable. */
+	/** Resolves with the outcome; retries while the shard's owner changes or is unreachable. */
 	submit(submission: Submission): Promise<Outcome>
 	/** Returns the outcome, or `running` when there is none within `waitMs` milliseconds. */
 	find(key: SubmissionKey, waitMs: number): Promise<FindResult>
--- a/packages/entry/src/dispatch/target-registry.ts
+++ b/packages/entry/src/dispatch/target-registry.ts
@@ -13,7 +13,7 @@
 	all(): readonly Target[]
 	/** Recomputes which targets this instance places; to be called when peers or configuration change. */
 	assign(): void
-	/** Returns the name of the instance that places the target. */
+	/** Returns the instance that places the target, or undefined when none does. */
 	placerOf(target: Target): string | undefined
 }
 
--- a/packages/entry/src/fleet/config-store.ts
+++ b/packages/entry/src/fleet/config-store.ts
@@ -31,7 +31,7 @@
 		expected: number,
 		author: string,
 	): Promise<Result<VersionedConfig, DispatchError>>
-	/** Returns all past versions and the current one. */
+	/** Returns all past versions and the current one; fails when the store does not answer. */
 	history(): Promise<Result<readonly VersionedConfig[], DispatchError>>
 	/** Returns how long the current version has been in force on this instance; 0 without one. */
 	inForceMs(): number
@@ -57,16 +57,14 @@
 		if (!isNewer(candidate, current)) return false
 		const checked = parseConfig(candidate.config)
 		if (checked.isErr()) {
-			deps.log.error(
-				`Configuration version ${candidate.version} is invalid: ${checked.error.detail}.`,
-			)
+			deps.log.error(`Version ${candidate.version} is refused: ${checked.error.detail}.`)
 			return false
 		}
 		current = {...candidate, config: checked.value}
 		inForceSince = clock.now()
 		deps.metrics.gauge("config.version", candidate.version)
 		deps.log.info(
-			`Configuration version ${candidate.version} by ${candidate.author} is in force, from ${source}.`,
+			`Version ${candidate.version} by ${candidate.author} is in force, from ${source}.`,
 		)
 		deps.onChange(checked.value)
 		return true
--- a/packages/entry/src/fleet/ownership-loop.ts
+++ b/packages/entry/src/fleet/ownership-loop.ts
@@ -154,7 +154,7 @@
 
 	async function claim(map: OwnershipMap, revision: number, plan: readonly number[], self: string) {
 		const moves = plan.map(shard => ({shard, to: self}))
-		if (await move(map, revision, moves)) deps.log.info(`Claimed ${plan.length} shards.`)
+		if (await move(map, revision, moves)) deps.log.info(`Took ${plan.length} shards.`)
 	}
 
 	async function reconcile() {
--- a/packages/entry/src/fleet/session.ts
+++ b/packages/entry/src/fleet/session.ts
@@ -22,7 +22,7 @@
 	start(): void
 	/** Returns undefined while no session is open. */
 	id(): SessionId | undefined
-	/** Returns the journal of the open or else the last session. */
+	/** Returns the journal of the open session, or of the last one while none is open. */
 	journal(): Journal
 	/** Publishes that this instance is draining. */
 	announceDraining(): Promise<void>
@@ -97,7 +97,7 @@
 		const journal = newJournal(id, segmentStarts)
 		open = {id, lease, journal, segmentStarts}
 		lastJournal = journal
-		deps.log.info(`Opened session ${id}.`)
+		deps.log.info(`Session ${id} is open.`)
 		deps.onOpen()
 		return true
 	}
@@ -106,7 +106,7 @@
 		if (open?.id !== id) return
 		open = undefined
 		deps.metrics.count("session.lost")
-		deps.log.warn(`Lost session ${id}: ${cause}.`)
+		deps.log.warn(`Session ${id} is lost: ${cause}.`)
 		deps.onLost(id)
 	}
 
--- a/packages/entry/src/peers/peer-server.ts
+++ b/packages/entry/src/peers/peer-server.ts
@@ -43,7 +43,7 @@
 }
 
 export interface PeerServer {
-	/** Resolves with the bound port; rejects when it is taken. */
+	/** Resolves with the bound port; rejects when the port is taken. */
 	listen(host: string, port: number): Promise<number>
 	/** Waits for calls in flight for up to `limitMs` milliseconds, then closes by force. */
 	close(limitMs: number): Promise<void>
