--- a/packages/entry/src/core/dispatch-parts.ts
+++ b/packages/entry/src/core/dispatch-parts.ts
@@ -61,9 +61,9 @@
 		stop(target: Target, attempts: readonly Attempt[]) {
 			if (target.type === "worker") void workers.stop(target, attempts)
 		},
-		retainOnly(targets: readonly Target[]) {
-			executors.retainOnly(targets.filter(target => target.type === "executor"))
-			workers.retainOnly(targets.filter(target => target.type === "worker"))
+		keep(targets: readonly Target[]) {
+			executors.keep(targets.filter(target => target.type === "executor"))
+			workers.keep(targets.filter(target => target.type === "worker"))
 		},
 		close: () => Promise.all([executors.close(), workers.close()]),
 	}
@@ -194,7 +194,7 @@
 		livePeersIn: peers.liveIn,
 		livePeers: peers.live,
 		scheduler,
-		onTargets: clients.retainOnly,
+		onTargets: clients.keep,
 		onEntries: fleet.updateListed,
 	})
 
--- a/packages/entry/src/targets/executor-client.ts
+++ b/packages/entry/src/targets/executor-client.ts
@@ -11,7 +11,7 @@
 export interface ExecutorClient {
 	invoke(target: Target, attempt: Attempt): Promise<AttemptResult>
 	/** Closes the connections to all other targets. */
-	retainOnly(targets: readonly Target[]): void
+	keep(targets: readonly Target[]): void
 	close(): Promise<void>
 }
 
@@ -30,7 +30,7 @@
 export function createPools(connections: number) {
 	const pools = new Map<string, Pool>()
 	return {
-		poolFor(address: string): Pool {
+		to(address: string): Pool {
 			let pool = pools.get(address)
 			if (!pool) {
 				pool = new Pool(address, {
@@ -43,7 +43,7 @@
 			}
 			return pool
 		},
-		retainOnly(addresses: ReadonlySet<string>) {
+		keep(addresses: ReadonlySet<string>) {
 			for (const [address, pool] of pools) {
 				if (addresses.has(address)) continue
 				pools.delete(address)
@@ -95,7 +95,7 @@
 			const startedAt = clock.now()
 			const remainingMs = Math.max(1, Math.ceil(attempt.deadlineAt - startedAt))
 			try {
-				const res = await pools.poolFor(target.address).request({
+				const res = await pools.to(target.address).request({
 					method: "POST",
 					path: "/invoke",
 					headers: {
@@ -116,7 +116,7 @@
 				return {type: "unknown", detail}
 			}
 		},
-		retainOnly: targets => pools.retainOnly(new Set(targets.map(target => target.address))),
+		keep: targets => pools.keep(new Set(targets.map(target => target.address))),
 		close: () => pools.close(),
 	}
 }
--- a/packages/entry/src/targets/worker-client.ts
+++ b/packages/entry/src/targets/worker-client.ts
@@ -32,7 +32,7 @@
 	/** Asks the worker to stop attempts; a failed call is ignored. */
 	stop(target: Target, attempts: readonly Attempt[]): Promise<void>
 	/** Closes the connections to all other targets. */
-	retainOnly(targets: readonly Target[]): void
+	keep(targets: readonly Target[]): void
 	close(): Promise<void>
 }
 
@@ -71,7 +71,7 @@
 	const pools = createPools(CONNECTIONS_PER_WORKER)
 
 	async function post(target: Target, path: string, body: object, timeoutMs: number) {
-		return pools.poolFor(target.address).request({
+		return pools.to(target.address).request({
 			method: "POST",
 			path,
 			headers: {"content-type": "application/json"},
@@ -145,7 +145,7 @@
 				.then(res => res.body.dump())
 				.catch(() => undefined)
 		},
-		retainOnly: targets => pools.retainOnly(new Set(targets.map(target => target.address))),
+		keep: targets => pools.keep(new Set(targets.map(target => target.address))),
 		close: () => pools.close(),
 	}
 }
