--- a/packages/ctl/src/commands/trace.ts
+++ b/packages/ctl/src/commands/trace.ts
@@ -52,10 +52,10 @@
 
 /** Returns instance names by session, from all lines that name both. */
 export function instancesBySession(lines: readonly LogLine[]): ReadonlyMap<unknown, string> {
-	const lives = new Map<unknown, string>()
+	const instances = new Map<unknown, string>()
 	for (const {session, peer} of lines)
-		if (session !== undefined && typeof peer === "string") lives.set(session, peer)
-	return lives
+		if (session !== undefined && typeof peer === "string") instances.set(session, peer)
+	return instances
 }
 
 /** Formats the fields without a column; `askedBy` gets the instance's name where it is known. */
