--- a/packages/ctl/src/commands/operators.ts
+++ b/packages/ctl/src/commands/operators.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' commands: config, instances, endpoints, workers, drain.
+ * Commands for operators: config, evacuate, instances, endpoints, workers, drain.
  */
 import {readFileSync} from "node:fs"
 import {callEntry} from "../client.js"
@@ -51,7 +51,7 @@
 async function putConfig(invocation: Invocation, file: string): Promise<number> {
 	const {connection, asJson, flags} = invocation
 	if (flags.version === undefined) {
-		process.stderr.write("config put: --if-version N is needed: the version that it replaces\n")
+		process.stderr.write("config put: --if-version N is required: the version to replace\n")
 		return EXIT.usage
 	}
 	const result = await callEntry<VersionedConfig>(connection, "/v1/config", {
@@ -103,13 +103,13 @@
 	readonly evacuated?: readonly string[]
 }
 
-/** Other changes of the configuration may come between the reading and the writing. */
-const EVACUATE_TRIES = 5
+/** Another change may win between the read and the write. */
+const MAX_EVACUATE_ATTEMPTS = 5
 
-/** Empties a failure domain, or takes it back; without one, lists those that are emptied. */
+/** Evacuates a failure domain or ends its evacuation; without one, lists the evacuated domains. */
 export const evacuate: Command = async invocation => {
 	const [domain] = invocation.words
-	for (let tries = 1; ; tries++) {
+	for (let attempt = 1; ; attempt++) {
 		const current = await readConfig(invocation)
 		if (current.isErr()) return reportFailure(current.error, invocation.asJson)
 		const before = (current.value.config as EvacuatedConfig).evacuated ?? []
@@ -125,8 +125,8 @@
 			},
 		})
 		if (result.isOk()) return printEvacuated(invocation, evacuated)
-		const isOvertaken = result.error.kind === "config_conflict"
-		if (!isOvertaken || tries === EVACUATE_TRIES)
+		const isConflict = result.error.kind === "config_conflict"
+		if (!isConflict || attempt === MAX_EVACUATE_ATTEMPTS)
 			return reportFailure(result.error, invocation.asJson)
 	}
 }
@@ -150,7 +150,7 @@
 	return EXIT.usage
 }
 
-/** Prints a list that an instance answers with, as a table or as JSON. */
+/** Fetches a list and prints it as a table or as JSON. */
 async function printList<T>(
 	invocation: Invocation,
 	path: string,
--- a/packages/entry/src/core/fleet-parts.ts
+++ b/packages/entry/src/core/fleet-parts.ts
@@ -1,10 +1,10 @@
 /**
- * The parts that tie an instance to the fleet: the store, the configuration, the session, the
- * shards, and the peers.
+ * Creates the parts that connect an instance to the fleet: store, configuration, session, shard
+ * ownership and peers.
  */
 import type {Config, Owner, SessionId, VersionedConfig} from "@cottonwood/core"
 import {unpackJson, type HeartbeatMessage} from "@cottonwood/wire"
-import {createConfigKeeper} from "../fleet/config-keeper.js"
+import {createConfigStore} from "../fleet/config-store.js"
 import {createLiveView, type SessionInfo} from "../fleet/live-view.js"
 import {createOwnershipLoop} from "../fleet/ownership-loop.js"
 import {createSession} from "../fleet/session.js"
@@ -14,7 +14,7 @@
 import {logOf} from "../utils/log.js"
 import type {Base} from "./base.js"
 
-/** What the fleet's parts need of the others, which are made after them. */
+/** Callbacks into parts that are created later. */
 export interface FleetHooks {
 	readonly owner: () => Owner
 	readonly rooms: () => ReadonlyMap<string, number>
@@ -23,7 +23,7 @@
 	readonly onConfig: () => void
 }
 
-/** In force before the first configuration is known. */
+/** Defaults until the first configuration is known. */
 const DEFAULT_RETENTION_MS = 600_000
 const DEFAULT_WRITES_PER_SECOND = 240
 
@@ -50,13 +50,13 @@
 	let listed: readonly ListedEntry[] = []
 
 	const store = createStore({url: storeUrl, timeoutMs: timings.storeTimeoutMs, metrics})
-	const config = createConfigKeeper({
+	const config = createConfigStore({
 		store,
 		clock,
 		log: logOf(log, "config"),
 		metrics,
 		onChange() {
-			peers.announce()
+			peers.heartbeatNow()
 			hooks.onConfig()
 		},
 	})
@@ -70,9 +70,9 @@
 		log: logOf(log, "store"),
 		onChange() {
 			const item = view.config()
-			if (item) config.offer(item.value as VersionedConfig, "the store")
+			if (item) config.applyIfNewer(item.value as VersionedConfig, "the store")
 			peers.update(view.sessions().values(), listed)
-			ownership.nudge()
+			ownership.checkSoon()
 		},
 	})
 
@@ -89,7 +89,7 @@
 		fleetSize: () => Math.max(1, view.sessions().size),
 		retentionMs,
 		onLost: () => ownership.dropAll(),
-		onOpen: () => ownership.nudge(),
+		onOpen: () => ownership.checkSoon(),
 	})
 
 	const ownership = createOwnershipLoop({
@@ -113,12 +113,12 @@
 		room: [...hooks.rooms()].map(([pool, free]) => ({pool, free})),
 	})
 
-	/** Gets a newer configuration from a peer, for when the store cannot be reached. */
+	/** Fetches a newer configuration from a peer, so that it spreads without the store. */
 	function fetchConfig(peer: Peer, version: number) {
 		if (version <= (config.current()?.version ?? 0)) return
 		peer.client.getConfig({}, (error, reply) => {
 			if (error || !reply || reply.config.length === 0) return
-			config.offer(unpackJson(reply.config) as VersionedConfig, `peer ${peer.instance}`)
+			config.applyIfNewer(unpackJson(reply.config) as VersionedConfig, `peer ${peer.instance}`)
 		})
 	}
 
@@ -146,7 +146,7 @@
 		ownership,
 		peers,
 		describe,
-		noteListed(entries: readonly ListedEntry[]) {
+		updateListed(entries: readonly ListedEntry[]) {
 			listed = entries
 			peers.update(view.sessions().values(), entries)
 		},
--- a/packages/entry/src/dispatch/plans.ts
+++ b/packages/entry/src/dispatch/plans.ts
@@ -1,6 +1,6 @@
 /**
- * From a submission to the plans of its tasks, and the checks that need the whole fleet's view:
- * whether an endpoint exists, and whether any worker can ever run a task.
+ * Turns a submission into task plans, and checks against the listed targets whether these can run.
+ * Used at admission and at execution.
  */
 import {
 	endpointPool,
@@ -25,25 +25,26 @@
 
 const SLOT: Resources = Object.freeze({cpu: 1, memoryMb: 0, accelerators: 0})
 
-/** Parsed selectors, since few texts recur in many tasks. */
-const parsed = new Map<string, Selector>()
-const texts = new WeakMap<Selector, string>()
-const MAX_PARSED = 1_000
+/** Cache of parsed selectors by text; cleared when it holds `MAX_PARSED_SELECTORS`. */
+const parsedSelectors = new Map<string, Selector>()
+const selectorTexts = new WeakMap<Selector, string>()
+const MAX_PARSED_SELECTORS = 1_000
 
+/** Returns the parsed selector; invalid text gives an empty one. */
 export function selectorOf(text: string): Selector {
-	let selector = parsed.get(text)
+	let selector = parsedSelectors.get(text)
 	if (!selector) {
-		if (parsed.size >= MAX_PARSED) parsed.clear()
+		if (parsedSelectors.size >= MAX_PARSED_SELECTORS) parsedSelectors.clear()
 		selector = parseSelector(text).unwrapOr([])
-		parsed.set(text, selector)
-		texts.set(selector, text)
+		parsedSelectors.set(text, selector)
+		selectorTexts.set(selector, text)
 	}
 	return selector
 }
 
-/** Returns the text that a selector of a plan was made from, for a peer to parse again. */
-export function textOf(selector: Selector): string {
-	return texts.get(selector) ?? ""
+/** Returns the text of a selector from `selectorOf`, or an empty text for any other selector. */
+export function selectorText(selector: Selector): string {
+	return selectorTexts.get(selector) ?? ""
 }
 
 function joinSelectors(first: string, second: string): string {
@@ -75,7 +76,7 @@
 	}
 }
 
-/** Returns one plan per task; a request has one. */
+/** Returns one plan per task of a job, or a single plan for a request. */
 export function planSubmission(
 	submission: Submission,
 	config: Config,
@@ -106,13 +107,13 @@
 	]
 }
 
-const COME_BACK_MS = 1_000
+const RETRY_AFTER_MS = 1_000
 
 function noCapacity(detail: string): Result<void, DispatchError> {
-	return fail("no_capacity", detail, {retryAfterMs: addJitterMs(COME_BACK_MS, Math.random)})
+	return fail("no_capacity", detail, {retryAfterMs: addJitterMs(RETRY_AFTER_MS, Math.random)})
 }
 
-/** Refuses a task that no listed worker could ever run. */
+/** Fails when no listed worker can run the task now (`no_capacity`) or ever (`cannot_run`). */
 function checkTask(
 	plan: TaskPlan,
 	index: number,
@@ -124,7 +125,7 @@
 		return fail("cannot_run", `task ${index}: no worker matches its selector`)
 	}
 	if (!matching.some(worker => worker.state === "live"))
-		return noCapacity(`task ${index}: every worker that matches is leaving`)
+		return noCapacity(`task ${index}: all matching workers are leaving`)
 	if (matching.some(worker => isLargeEnough(worker, plan.need))) return ok(undefined)
 	const {cpu, memoryMb, accelerators} = plan.need
 	const need = `${cpu} processors, ${memoryMb} MiB, ${accelerators} accelerators`
@@ -141,7 +142,7 @@
 	return isServed ? ok(undefined) : noCapacity("no live executor of the endpoint is listed")
 }
 
-/** Refuses at once what no listed target could run now or ever. */
+/** Fails when a plan fits no listed target; checks tasks of the same shape once. */
 export function checkCanRun(
 	plans: readonly TaskPlan[],
 	targets: readonly Target[],
--- a/packages/entry/src/dispatch/targets.ts
+++ b/packages/entry/src/dispatch/target-registry.ts
@@ -1,31 +1,32 @@
 /**
- * The targets of the fleet as this instance sees them, and which of them it places itself.
+ * Tracks the fleet's listed targets and gives the scheduler those that this instance places.
  */
 import {assignEvenly, poolOf, type Clock, type Scheduler, type Target} from "@cottonwood/core"
 import type {InstanceList, InstanceListing, ListedEntry} from "../platform/instance-list.js"
 import type {Log} from "../utils/log.js"
 import type {Metrics} from "../utils/metrics.js"
 
-export interface TargetBoard {
+export interface TargetRegistry {
 	start(): void
 	stop(): void
 	/** All listed targets of all failure domains. */
 	all(): readonly Target[]
-	/** Computes anew which targets are placed here, and how; called when the members or the configuration changed. */
+	/** Recomputes which targets this instance places; to be called when peers or configuration change. */
 	assign(): void
+	/** Returns the instance that places the target, or undefined when none does. */
 	placerOf(target: Target): string | undefined
 }
 
-export interface TargetBoardDeps {
+export interface TargetRegistryDeps {
 	readonly instance: string
 	readonly failureDomain: string
 	readonly list: InstanceList
 	readonly clock: Clock
 	readonly log: Log
 	readonly metrics: Metrics
-	readonly everyMs: number
+	readonly pollMs: number
 	readonly isDraining: () => boolean
-	/** Whether operators are emptying a failure domain. */
+	/** Whether operators have evacuated a failure domain. */
 	readonly isEvacuated: (failureDomain: string) => boolean
 	readonly livePeersIn: (failureDomain: string) => readonly string[]
 	readonly livePeers: () => readonly string[]
@@ -34,27 +35,27 @@
 	readonly onEntries: (entries: readonly ListedEntry[]) => void
 }
 
-/** A target that leaves the list is kept this long, since lists lag and readings fail. */
-const GONE_MS = 10_000
+/** Targets stay for this long after they leave the list, since lists lag. */
+const UNLISTED_GRACE_MS = 10_000
 
-export function createTargetBoard(deps: TargetBoardDeps): TargetBoard {
+export function createTargetRegistry(deps: TargetRegistryDeps): TargetRegistry {
 	const {clock} = deps
-	let known = new Map<string, {readonly target: Target; seenAt: number}>()
+	let knownTargets = new Map<string, {readonly target: Target; seenAt: number}>()
 	let lastListing: InstanceListing | undefined
 	let targets: readonly Target[] = []
 	let placers: ReadonlyMap<string, string> = new Map()
 	let isStopped = false
 
-	/** The live instances that may place targets of a failure domain. */
-	function placersFor(failureDomain: string): readonly string[] {
+	/** Returns the live instances that may place targets of a failure domain, preferring its own. */
+	function placerCandidates(failureDomain: string): readonly string[] {
 		const isOwn = failureDomain === deps.failureDomain
 		const self = deps.isDraining() ? [] : [deps.instance]
 		const near = [...deps.livePeersIn(failureDomain), ...(isOwn ? self : [])]
 		return near.length > 0 ? near : [...deps.livePeers(), ...self]
 	}
 
-	/** A target of a domain that is emptied counts as leaving: what runs there ends in peace, and nothing new comes. */
-	function asUsed(target: Target): Target {
+	/** Marks targets of an evacuated domain as leaving: running tasks finish, new ones go elsewhere. */
+	function withEvacuation(target: Target): Target {
 		return deps.isEvacuated(target.failureDomain) ? {...target, state: "leaving"} : target
 	}
 
@@ -67,7 +68,7 @@
 		}
 		const all = new Map<string, string>()
 		for (const group of groups.values()) {
-			const members = placersFor(group[0]!.failureDomain)
+			const members = placerCandidates(group[0]!.failureDomain)
 			const ids = group.map(target => target.id)
 			for (const [id, member] of assignEvenly(ids, members)) all.set(id, member)
 		}
@@ -77,18 +78,17 @@
 	function assign() {
 		placers = assignAll()
 		const mine = targets.filter(target => placers.get(target.id) === deps.instance)
-		deps.scheduler.setTargets(mine.map(asUsed))
+		deps.scheduler.setTargets(mine.map(withEvacuation))
 		deps.metrics.gauge("targets.placed", mine.length)
 	}
 
-	/** Keeps a target for a while after it left the list, since lists lag. */
-	function take(listing: InstanceListing) {
+	function applyListing(listing: InstanceListing) {
 		const now = clock.now()
 		const next = new Map(listing.targets.map(target => [target.id, {target, seenAt: now}]))
-		for (const [id, item] of known) {
-			if (!next.has(id) && now - item.seenAt <= GONE_MS) next.set(id, item)
+		for (const [id, item] of knownTargets) {
+			if (!next.has(id) && now - item.seenAt <= UNLISTED_GRACE_MS) next.set(id, item)
 		}
-		known = next
+		knownTargets = next
 		targets = [...next.values()].map(({target}) => target)
 		if (listing.malformed > 0) deps.metrics.count("list.malformed", listing.malformed)
 		deps.onEntries(listing.entries)
@@ -96,11 +96,12 @@
 		assign()
 	}
 
-	/** An unchanged list renews what it names; it is taken in again while something is about to go. */
+	/** An unchanged list only renews its targets, unless unlisted ones are still due to expire. */
 	function refresh(listing: InstanceListing, answer: InstanceListing | "unchanged") {
-		if (answer !== "unchanged" || known.size > listing.targets.length) return take(listing)
+		if (answer !== "unchanged" || knownTargets.size > listing.targets.length)
+			return applyListing(listing)
 		const now = clock.now()
-		for (const item of known.values()) item.seenAt = now
+		for (const item of knownTargets.values()) item.seenAt = now
 	}
 
 	async function loop() {
@@ -109,14 +110,14 @@
 			if (answer === undefined) deps.metrics.count("list.no_answer")
 			else if (answer !== "unchanged") lastListing = answer
 			if (lastListing && answer !== undefined && !isStopped) refresh(lastListing, answer)
-			await clock.sleep(deps.everyMs)
+			await clock.sleep(deps.pollMs)
 		}
 	}
 
 	return {
 		start: () => void loop(),
 		stop: () => void (isStopped = true),
-		all: () => targets.map(asUsed),
+		all: () => targets.map(withEvacuation),
 		assign,
 		placerOf: target => placers.get(target.id),
 	}
--- a/packages/entry/src/fleet/ownership-loop.ts
+++ b/packages/entry/src/fleet/ownership-loop.ts
@@ -1,7 +1,7 @@
 /**
- * Moves shards towards the assignment that all instances compute alike: takes the shards of dead
- * sessions after sealing their journals, gives up those that another instance should have, and
- * serves a shard only after the journals of its past owners are read.
+ * Reconciles shard ownership with the assignment that all instances compute alike: claims the shards
+ * of dead sessions after sealing their journals, releases those assigned to other instances, and
+ * serves a shard only after reading the journals of its past owners.
  */
 import {randomUUID} from "node:crypto"
 import {
@@ -28,8 +28,8 @@
 export interface OwnershipLoop {
 	start(): void
 	stop(): void
-	/** Looks at the assignment soon, because something changed. */
-	nudge(): void
+	/** Checks the assignment soon rather than at the next tick; no effect during a check. */
+	checkSoon(): void
 	isOwned(shard: number): boolean
 	ownedCount(): number
 	/** Drops all shards at once, because the session is lost. */
@@ -50,22 +50,22 @@
 
 type Moves = readonly {readonly shard: number; readonly to: SessionId}[]
 
-const TICK_MS = 1_000
-const SETTLE_MS = 150
+const CHECK_INTERVAL_MS = 1_000
+const MAX_CHECK_DELAY_MS = 150
 const RETRY_BASE_MS = 50
 const RETRY_CAP_MS = 1_000
 
 export function createOwnershipLoop(deps: OwnershipLoopDeps): OwnershipLoop {
 	const {store, view, session, clock} = deps
 	const owned = new Set<number>()
-	/** The newest revision of the map that this instance has seen; an older copy decides nothing. */
+	/** The newest revision of the map seen; older copies are ignored. */
 	let knownRevision = 0
 	let isStopped = false
 	let wake: (() => void) | undefined
 
 	/**
-	 * Writes a change of the map and repeats it until the answer is definite: a write whose fate is
-	 * open could otherwise take effect later, after this instance had decided something else.
+	 * Writes the map and retries until the outcome is known: a write of unknown outcome could otherwise
+	 * take effect after this instance has decided something else.
 	 */
 	async function writeMap(map: OwnershipMap, revision: number): Promise<boolean> {
 		for (let attempt = 0; !isStopped; attempt++) {
@@ -85,16 +85,16 @@
 	}
 
 	async function move(map: OwnershipMap, revision: number, moves: Moves): Promise<boolean> {
-		const keptMs = 2 * deps.retentionMs()
-		const next = moveShards(map, moves, randomUUID(), clock.wallNow(), keptMs)
+		const keepPastMs = 2 * deps.retentionMs()
+		const next = moveShards(map, moves, randomUUID(), clock.wallNow(), keepPastMs)
 		const isWritten = await writeMap(next, revision)
 		await view.refresh()
-		if (isWritten) void trimForgotten(map, next)
+		if (isWritten) void trimUnreferenced(map, next)
 		return isWritten
 	}
 
 	/** Trims the journals of sessions that the map no longer names. */
-	async function trimForgotten(before: OwnershipMap, after: OwnershipMap) {
+	async function trimUnreferenced(before: OwnershipMap, after: OwnershipMap) {
 		const all = before.shards.map((_, index) => index)
 		const kept = new Set(pastSessions(after, all))
 		for (const past of pastSessions(before, all)) {
@@ -114,7 +114,7 @@
 			})
 			if (records === undefined) return false
 			deps.metrics.count("journal.sealed")
-			deps.log.info(`Journal of ${dead} is sealed with ${records.length} records.`)
+			deps.log.info(`Sealed the journal of ${dead} with ${records.length} records.`)
 		}
 		return true
 	}
@@ -124,7 +124,7 @@
 		return entries?.flatMap(({entry}) => ("sealedBy" in entry ? [] : entry.records))
 	}
 
-	/** Starts to serve the shards that the map gives to this session, after reading their past. */
+	/** Starts serving newly assigned shards after reading the journals of their past owners. */
 	async function adopt(self: SessionId) {
 		const {map, revision} = view.ownership()
 		if (!map || revision < knownRevision) return
@@ -141,7 +141,7 @@
 		if (session.id() !== self) return
 		for (const shard of given) owned.add(shard)
 		deps.metrics.gauge("shards.owned", owned.size)
-		deps.log.info(`Serving ${given.length} more shards, ${owned.size} in all.`)
+		deps.log.info(`Serving ${given.length} more shards, ${owned.size} in total.`)
 	}
 
 	async function release(map: OwnershipMap, revision: number, moves: Moves) {
@@ -149,7 +149,7 @@
 		await session.journal().flush()
 		const isWritten = await move(map, revision, moves)
 		deps.metrics.gauge("shards.owned", owned.size)
-		if (isWritten) deps.log.info(`Gave up ${moves.length} shards.`)
+		if (isWritten) deps.log.info(`Released ${moves.length} shards.`)
 	}
 
 	async function claim(map: OwnershipMap, revision: number, plan: readonly number[], self: string) {
@@ -184,13 +184,13 @@
 	async function loop() {
 		while (!isStopped) {
 			await reconcile().catch((error: unknown) =>
-				deps.log.error(`The assignment could not be checked: ${String(error)}.`),
+				deps.log.error(`Ownership check failed: ${String(error)}.`),
 			)
 			await new Promise<void>(resolve => {
-				const cancel = clock.schedule(TICK_MS, resolve)
+				const cancel = clock.schedule(CHECK_INTERVAL_MS, resolve)
 				wake = () => {
 					cancel()
-					clock.schedule(SETTLE_MS * deps.random(), resolve)
+					clock.schedule(MAX_CHECK_DELAY_MS * deps.random(), resolve)
 				}
 			})
 			wake = undefined
@@ -203,7 +203,7 @@
 			isStopped = true
 			wake?.()
 		},
-		nudge: () => wake?.(),
+		checkSoon: () => wake?.(),
 		isOwned: shard => owned.has(shard),
 		ownedCount: () => owned.size,
 		dropAll: () => owned.clear(),
--- a/packages/entry/src/fleet/session.ts
+++ b/packages/entry/src/fleet/session.ts
@@ -1,6 +1,6 @@
 /**
- * This instance's session with the store: its lease, its line among the live sessions, and its
- * journal. A session that lapsed is never revived; a new one with a new journal takes its place.
+ * This instance's session in the store: its lease, its published entry and its journal. A lapsed
+ * session is never revived; a new one with a new journal replaces it.
  */
 import {randomBytes} from "node:crypto"
 import {
@@ -18,14 +18,15 @@
 import type {SessionInfo} from "./live-view.js"
 
 export interface Session {
-	/** Opens the first session, and a new one whenever the last is lost. */
+	/** Opens a session, and a new one whenever it is lost. */
 	start(): void
-	/** Returns the open session, or undefined before the first and while it is replaced. */
+	/** Returns undefined while no session is open. */
 	id(): SessionId | undefined
+	/** Returns the journal of the open session, or of the last one while none is open. */
 	journal(): Journal
-	/** Rewrites this instance's line as draining. */
+	/** Publishes that this instance is draining. */
 	announceDraining(): Promise<void>
-	/** Ends the session, so that nobody waits for its lease to lapse. */
+	/** Flushes the journal and revokes the lease, so that nobody waits for it to lapse. */
 	end(): Promise<void>
 }
 
@@ -40,27 +41,27 @@
 	readonly fleetWritesPerSecond: () => number
 	readonly fleetSize: () => number
 	readonly retentionMs: () => number
-	/** Called when the session is lost; its shards may have new owners from now on. */
+	/** Called when the session is lost; from then on its shards may have new owners. */
 	readonly onLost: (session: SessionId) => void
 	readonly onOpen: () => void
 }
 
 const LAZY_MS = 300
 const OPEN_RETRY_MS = 500
-const KEEPALIVES_PER_TERM = 3
-const TRIM_MS = 30_000
+const KEEPALIVES_PER_LEASE = 3
+const TRIM_INTERVAL_MS = 30_000
 
-interface Open {
+interface OpenSession {
 	readonly id: SessionId
 	readonly lease: string
 	readonly journal: Journal
-	/** When each segment got its first entry, for trimming. */
+	/** When each segment got its first entry, in milliseconds on the monotonic clock. */
 	readonly segmentStarts: Map<number, number>
 }
 
 export function createSession(deps: SessionDeps): Session {
 	const {store, clock} = deps
-	let open: Open | undefined
+	let open: OpenSession | undefined
 	let lastJournal: Journal | undefined
 	let isEnded = false
 
@@ -76,7 +77,7 @@
 				return createEntry(store, id, seq, entry)
 			},
 			spacingMs: () => writeSpacingMs(deps.fleetWritesPerSecond(), deps.fleetSize()),
-			onSealed: () => lose(id, "its journal was sealed by a successor"),
+			onSealed: () => markLost(id, "its journal was sealed by a successor"),
 			onWrite: (result, tookMs, records) => {
 				deps.metrics.count(`journal.write.${result}`)
 				if (result === "created") deps.metrics.count("journal.records", records)
@@ -85,7 +86,7 @@
 		})
 	}
 
-	async function openOne(): Promise<boolean> {
+	async function openSession(): Promise<boolean> {
 		const lease = await store.grantLease(deps.leaseTtlMs)
 		if (lease === undefined) return false
 		const info = deps.describe("")
@@ -101,7 +102,7 @@
 		return true
 	}
 
-	function lose(id: SessionId, cause: string) {
+	function markLost(id: SessionId, cause: string) {
 		if (open?.id !== id) return
 		open = undefined
 		deps.metrics.count("session.lost")
@@ -109,12 +110,12 @@
 		deps.onLost(id)
 	}
 
-	async function keepAlive(current: Open) {
+	async function keepAlive(current: OpenSession) {
 		const result = await store.keepAlive(current.lease)
-		if (result === "gone") lose(current.id, "its lease lapsed")
+		if (result === "gone") markLost(current.id, "its lease lapsed")
 	}
 
-	async function trim(current: Open) {
+	async function trim(current: OpenSession) {
 		const newest = Math.max(-1, ...current.segmentStarts.keys())
 		const oldest = clock.now() - 2 * deps.retentionMs()
 		for (const [segment] of current.segmentStarts) {
@@ -130,14 +131,14 @@
 		let trimmedAt = clock.now()
 		while (!isEnded) {
 			if (!open) {
-				const isOpen = await openOne()
+				const isOpen = await openSession()
 				if (!isOpen) await clock.sleep(OPEN_RETRY_MS * (1 + deps.random()))
 				continue
 			}
-			await clock.sleep(deps.leaseTtlMs / KEEPALIVES_PER_TERM)
+			await clock.sleep(deps.leaseTtlMs / KEEPALIVES_PER_LEASE)
 			if (isEnded || !open) continue
 			await keepAlive(open)
-			if (!open || clock.now() - trimmedAt < TRIM_MS) continue
+			if (!open || clock.now() - trimmedAt < TRIM_INTERVAL_MS) continue
 			trimmedAt = clock.now()
 			await trim(open)
 		}
--- a/packages/entry/src/http/app.ts
+++ b/packages/entry/src/http/app.ts
@@ -1,11 +1,11 @@
 /**
- * The HTTP application for callers, operators and the balancer.
+ * The HTTP application for callers, operators and the load balancer, and its server.
  */
 import {DispatchError, type Clock, type Config, type SubmissionKey} from "@cottonwood/core"
 import {serve, type ServerType} from "@hono/node-server"
 import {Hono} from "hono"
 import type {Router} from "../dispatch/router.js"
-import type {ConfigKeeper} from "../fleet/config-keeper.js"
+import type {ConfigStore} from "../fleet/config-store.js"
 import type {Log} from "../utils/log.js"
 import type {Metrics} from "../utils/metrics.js"
 import {addOperatorRoutes} from "./operators.js"
@@ -15,7 +15,7 @@
 export interface HttpDeps {
 	readonly clock: Clock
 	readonly router: Router
-	readonly configKeeper: ConfigKeeper
+	readonly configStore: ConfigStore
 	readonly metrics: Metrics
 	readonly log: Log
 	readonly bodyBytes: number
@@ -28,7 +28,7 @@
 	readonly describeInstances: () => unknown
 	readonly describeTargets: (type: "executor" | "worker") => unknown
 	readonly drain: () => void
-	/** Why the balancer should send nothing here; undefined when ready. */
+	/** Returns why this instance is not ready, or undefined when it is. */
 	readonly notReadyCause: () => string | undefined
 }
 
@@ -54,11 +54,11 @@
 
 export interface HttpServer {
 	readonly port: number
-	/** Stops listening; resolves when the open requests are answered. */
+	/** Stops listening; resolves when all open requests are answered. */
 	close(): Promise<void>
 }
 
-/** Listens for callers; rejects when the port is taken. */
+/** Starts the server; rejects when the port is taken. */
 export function listenHttp(app: Hono, settings: HttpServerSettings): Promise<HttpServer> {
 	const {host, port, headerBytes, requestTimeoutMs} = settings
 	return new Promise((resolve, reject) => {
--- a/packages/entry/src/http/submissions.ts
+++ b/packages/entry/src/http/submissions.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' calls: submit a request or a job, ask for its outcome, cancel it, explain it.
+ * Routes for callers: submit a request or a job, get its outcome, cancel it, explain it.
  */
 import {
 	DispatchError,
@@ -33,7 +33,7 @@
 	readonly team: string
 }
 
-/** Reads an id that may come quoted, as the header's draft standard writes it. */
+/** Reads the id, which may be quoted as in the header's draft standard; a missing one is generated. */
 function readId(c: Context): Result<string, DispatchError> {
 	const raw = c.req.header(ID_HEADER)
 	if (raw === undefined) return ok(mintId())
@@ -72,7 +72,7 @@
 
 type Parse = (text: string, caller: Caller, config: Config) => Result<Submission, DispatchError>
 
-function headOf(
+function submissionHead(
 	caller: Caller,
 	text: string,
 	repeatable: boolean,
@@ -83,14 +83,14 @@
 
 const parseAsRequest: Parse = (text, caller, config) =>
 	parseRequest(text, config).map(({body, repeatable}) => ({
-		head: {...headOf(caller, text, repeatable), deadlineAt: 0},
+		head: {...submissionHead(caller, text, repeatable), deadlineAt: 0},
 		type: "request",
 		request: body,
 	}))
 
 const parseAsJob: Parse = (text, caller, config) =>
 	parseJob(text, config).map(({body, repeatable}) => ({
-		head: {...headOf(caller, text, repeatable), deadlineAt: 0},
+		head: {...submissionHead(caller, text, repeatable), deadlineAt: 0},
 		type: "job",
 		job: body,
 	}))
@@ -100,19 +100,18 @@
 	return config.endpoints[submission.request.endpoint]!.defaultDeadlineMs
 }
 
-/** Adds the callers' routes. */
 export function addSubmissionRoutes(app: Hono, deps: HttpDeps) {
 	const {clock, router, metrics} = deps
 
-	/** A refusal before acceptance; it is counted and leaves no trace. */
+	/** Counts and sends a refusal; the submission has not been accepted. */
 	function refuse(c: Context, error: DispatchError, id?: string) {
 		metrics.count(`refusal.${error.kind}`)
 		return sendError(c, error, id)
 	}
 
 	async function answer(c: Context, submission: Submission, id: string) {
-		const leftMs = submission.head.deadlineAt - clock.now()
-		const waitMs = Math.min(leftMs, readWaitMs(c) ?? leftMs)
+		const remainingMs = submission.head.deadlineAt - clock.now()
+		const waitMs = Math.min(remainingMs, readWaitMs(c) ?? remainingMs)
 		let cancelTimer: (() => void) | undefined
 		const timeout = new Promise<undefined>(resolve => {
 			cancelTimer = clock.schedule(waitMs, () => resolve(undefined))
@@ -120,8 +119,8 @@
 		const outcome = await Promise.race([router.submit(submission), timeout])
 		cancelTimer?.()
 		if (outcome) return sendOutcome(c, outcome, id)
-		const isOver = waitMs >= leftMs
-		const kind = isOver ? "deadline_exceeded" : "wait_ended"
+		const isPastDeadline = waitMs >= remainingMs
+		const kind = isPastDeadline ? "deadline_exceeded" : "wait_ended"
 		metrics.count(`refusal.${kind}`)
 		const error = new DispatchError(kind, `no outcome after ${Math.round(waitMs)} ms`, {
 			retryAfterMs: 1_000,
--- a/packages/entry/src/instance.ts
+++ b/packages/entry/src/instance.ts
@@ -1,5 +1,5 @@
 /**
- * One entry instance: its parts joined, started and stopped.
+ * Assembles, starts and drains an entry instance.
  */
 import {createBase, type Base} from "./core/base.js"
 import {createDispatchParts, type DispatchParts} from "./core/dispatch-parts.js"
@@ -20,7 +20,7 @@
 export interface Instance {
 	readonly httpPort: number
 	readonly peerPort: number
-	/** Stops without cutting a request: resolves when the process may exit. */
+	/** Finishes open requests and stops; resolves after the callback `onDrained`. */
 	drain(): Promise<void>
 }
 
@@ -34,7 +34,7 @@
 	return {
 		clock,
 		router: dispatch.router,
-		configKeeper: fleet.config,
+		configStore: fleet.config,
 		metrics,
 		log: logOf(base.log, "http"),
 		bodyBytes: settings.limits.bodyBytes,
@@ -63,10 +63,10 @@
 	const fleet: FleetParts = createFleetParts(base, {
 		owner: () => dispatch.owner,
 		rooms: () => dispatch.scheduler.rooms(),
-		onMembers: () => dispatch.board.assign(),
+		onMembers: () => dispatch.targetRegistry.assign(),
 		onRoom: (peer, pool) => dispatch.scheduler.onPeerRoomReport(peer, pool),
 		onConfig() {
-			dispatch.board.assign()
+			dispatch.targetRegistry.assign()
 			dispatch.scheduler.placeQueued()
 		},
 	})
@@ -79,13 +79,19 @@
 	const app = createApp(toHttpDeps(base, fleet, dispatch, () => void drain()))
 	const http = await listenHttp(app, {...settings.http, ...settings.limits})
 	state.httpPort = http.port
-	for (const part of [fleet.view, fleet.session, fleet.ownership, fleet.peers, dispatch.board]) {
+	for (const part of [
+		fleet.view,
+		fleet.session,
+		fleet.ownership,
+		fleet.peers,
+		dispatch.targetRegistry,
+	]) {
 		part.start()
 	}
 	startGauges(base, fleet, dispatch)
 	const {httpPort, peerPort} = state
 	logOf(base.log, "instance").info(
-		`Listening for callers on ${httpPort}, for peers on ${peerPort}.`,
+		`Listening for callers on port ${httpPort}, for peers on port ${peerPort}.`,
 	)
 	return {httpPort, peerPort, drain}
 }
--- a/packages/entry/src/peers/peer-table.ts
+++ b/packages/entry/src/peers/peer-table.ts
@@ -1,8 +1,8 @@
 /**
- * The other entry instances: their addresses, whether they answer, and what room they report.
+ * The other entry instances: their addresses, liveness and reported room.
  *
  * Addresses come from the live sessions and, without the store, from the instance list. Liveness
- * comes from heartbeats between the instances themselves, so it holds when the store is down.
+ * comes from heartbeats between the instances, so it does not depend on the store.
  */
 import type {Clock, PeerRoom, SessionId} from "@cottonwood/core"
 import {
@@ -23,8 +23,8 @@
 	readonly client: PeerClient
 	session: SessionId
 	lastAnswerAt: number
-	beatAt: number
-	isBeating: boolean
+	lastHeartbeatAt: number
+	isHeartbeatPending: boolean
 	draining: boolean
 	configVersion: number
 	room: Map<string, number>
@@ -33,19 +33,20 @@
 export interface PeerTable {
 	start(): void
 	stop(): void
-	/** Brings the table in line with the sessions and the list. */
+	/** Adds and removes peers to match the sessions and the list. */
 	update(sessions: Iterable<SessionInfo>, listed: readonly ListedEntry[]): void
 	byInstance(instance: string): Peer | undefined
 	bySession(session: SessionId): Peer | undefined
-	/** Instances of a failure domain that answer and do not drain, without this one. */
+	/** Returns the live peers of a failure domain that are not draining. */
 	liveIn(failureDomain: string): readonly string[]
+	/** Returns all live peers that are not draining, as of the last check. */
 	live(): readonly string[]
 	rooms(): readonly PeerRoom[]
-	noteRoom(instance: string, pool: string, free: number): void
-	/** Sends the next heartbeat to every peer soon, because there is news. */
-	announce(): void
-	/** Takes in what a peer said of itself in a heartbeat. */
-	noteHeartbeat(message: HeartbeatMessage__Output): void
+	onRoomReport(instance: string, pool: string, free: number): void
+	/** Makes the next heartbeat to every peer due at once. */
+	heartbeatNow(): void
+	/** Applies a heartbeat that a peer sent. */
+	onHeartbeat(message: HeartbeatMessage__Output): void
 	all(): Iterable<Peer>
 }
 
@@ -58,16 +59,16 @@
 	readonly heartbeatMs: number
 	readonly peerTimeoutMs: number
 	readonly describe: () => HeartbeatMessage
-	/** Called when the set of live peers changed. */
+	/** Called when the set of live peers changes. */
 	readonly onMembers: () => void
-	/** Called when a peer reported its room, in one pool or in all. */
+	/** Called when a peer reports its room, in one pool or in all. */
 	readonly onRoom: (instance: string, pool?: string) => void
 	readonly onNewerConfig: (peer: Peer, version: number) => void
 }
 
-const TICK_SHARE = 4
-/** Peers of other failure domains get heartbeats this much more seldom. */
-const FAR_FACTOR = 5
+const CHECKS_PER_HEARTBEAT = 4
+/** Multiplies the heartbeat interval and timeout for peers of other failure domains. */
+const OTHER_DOMAIN_FACTOR = 5
 const HEARTBEAT_DEADLINE_MS = 1_000
 
 export function createPeerTable(deps: PeerTableDeps): PeerTable {
@@ -75,7 +76,7 @@
 	const peers = new Map<string, Peer>()
 	let isStopped = false
 	let lastLive = ""
-	/** Asked for with every placement, so it is computed once per check. */
+	/** Computed once per check, since every placement reads it. */
 	let liveCache: readonly string[] = []
 
 	function isSameDomain(peer: Peer): boolean {
@@ -83,7 +84,9 @@
 	}
 
 	function isLive(peer: Peer): boolean {
-		const limitMs = isSameDomain(peer) ? deps.peerTimeoutMs : deps.peerTimeoutMs * FAR_FACTOR
+		const limitMs = isSameDomain(peer)
+			? deps.peerTimeoutMs
+			: deps.peerTimeoutMs * OTHER_DOMAIN_FACTOR
 		return clock.now() - peer.lastAnswerAt < limitMs
 	}
 
@@ -96,15 +99,15 @@
 			client: connectPeer(address),
 			session,
 			lastAnswerAt: -Infinity,
-			beatAt: -Infinity,
-			isBeating: false,
+			lastHeartbeatAt: -Infinity,
+			isHeartbeatPending: false,
 			draining: false,
 			configVersion: 0,
 			room: new Map(),
 		})
 	}
 
-	function takeHeartbeat(peer: Peer, message: HeartbeatMessage__Output) {
+	function applyReply(peer: Peer, message: HeartbeatMessage__Output) {
 		peer.lastAnswerAt = clock.now()
 		peer.draining = message.draining
 		peer.configVersion = message.configVersion
@@ -112,14 +115,14 @@
 		deps.onNewerConfig(peer, message.configVersion)
 	}
 
-	function beat(peer: Peer) {
-		peer.isBeating = true
-		peer.beatAt = clock.now()
+	function sendHeartbeat(peer: Peer) {
+		peer.isHeartbeatPending = true
+		peer.lastHeartbeatAt = clock.now()
 		const deadline = Date.now() + HEARTBEAT_DEADLINE_MS
 		peer.client.heartbeat(deps.describe(), {deadline}, (error, reply) => {
-			peer.isBeating = false
+			peer.isHeartbeatPending = false
 			if (error || !reply) return deps.metrics.count("peer.heartbeat_failed")
-			takeHeartbeat(peer, reply)
+			applyReply(peer, reply)
 			deps.onRoom(peer.instance)
 		})
 	}
@@ -133,9 +136,9 @@
 		deps.onMembers()
 	}
 
-	function liveNames(isWanted: (peer: Peer) => boolean): string[] {
+	function liveNames(predicate: (peer: Peer) => boolean): string[] {
 		return [...peers.values()]
-			.filter(peer => isLive(peer) && !peer.draining && isWanted(peer))
+			.filter(peer => isLive(peer) && !peer.draining && predicate(peer))
 			.map(peer => peer.instance)
 			.sort()
 	}
@@ -143,11 +146,14 @@
 	async function loop() {
 		while (!isStopped) {
 			for (const peer of peers.values()) {
-				const everyMs = isSameDomain(peer) ? deps.heartbeatMs : deps.heartbeatMs * FAR_FACTOR
-				if (!peer.isBeating && clock.now() - peer.beatAt >= everyMs) beat(peer)
+				const everyMs = isSameDomain(peer)
+					? deps.heartbeatMs
+					: deps.heartbeatMs * OTHER_DOMAIN_FACTOR
+				if (!peer.isHeartbeatPending && clock.now() - peer.lastHeartbeatAt >= everyMs)
+					sendHeartbeat(peer)
 			}
 			checkMembers()
-			await clock.sleep(deps.heartbeatMs / TICK_SHARE)
+			await clock.sleep(deps.heartbeatMs / CHECKS_PER_HEARTBEAT)
 		}
 	}
 
@@ -196,20 +202,20 @@
 			}
 			return rooms
 		},
-		noteRoom(instance, pool, free) {
+		onRoomReport(instance, pool, free) {
 			const peer = peers.get(instance)
 			if (!peer) return
 			peer.room.set(pool, free)
 			deps.onRoom(instance, pool)
 		},
-		announce() {
-			for (const peer of peers.values()) peer.beatAt = -Infinity
+		heartbeatNow() {
+			for (const peer of peers.values()) peer.lastHeartbeatAt = -Infinity
 		},
-		noteHeartbeat(message) {
+		onHeartbeat(message) {
 			const peer = peers.get(message.instance)
 			if (!peer) return
 			if (message.session !== "") peer.session = message.session
-			// Only what the peer says of itself: that it reaches us does not mean that we reach it.
+			// Does not count as an answer: a peer that reaches this instance may not be reachable from it.
 			peer.draining = message.draining
 			peer.room = new Map(message.room.map(({pool, free}) => [pool, free]))
 			deps.onRoom(peer.instance)
--- a/packages/entry/src/targets/worker-client.ts
+++ b/packages/entry/src/targets/worker-client.ts
@@ -1,8 +1,8 @@
 /**
- * The client of workers: a batch of attempts per POST, whose events come back one per line.
+ * The client of workers: one POST per batch of attempts, one line per event in the response.
  *
- * When a batch's stream breaks, the fate of its open attempts is asked for until the worker knows
- * it or their leases have ended; it is never guessed.
+ * When the stream breaks, the worker is asked for the state of the unsettled attempts until it
+ * reports their end or stops answering.
  */
 import {createInterface} from "node:readline"
 import type {Attempt, AttemptResult, Clock, Target} from "@cottonwood/core"
@@ -27,16 +27,18 @@
 type Settle = (id: string, result: AttemptResult) => void
 
 export interface WorkerClient {
-	/** Sends a batch; `settle` is called once for each attempt. */
+	/** Sends a batch and calls `settle` once for each attempt. */
 	run(target: Target, attempts: readonly Attempt[], settle: Settle): Promise<void>
+	/** Asks the worker to stop attempts; a failed call is ignored. */
 	stop(target: Target, attempts: readonly Attempt[]): Promise<void>
+	/** Closes the connections to all other targets. */
 	keep(targets: readonly Target[]): void
 	close(): Promise<void>
 }
 
 const CONNECTIONS_PER_WORKER = 16
-const ASK_PAUSE_MS = 250
-const MAX_FAILED_ASKS = 4
+const POLL_INTERVAL_MS = 250
+const MAX_FAILED_POLLS = 4
 const CALL_TIMEOUT_MS = 2_000
 const STREAM_SLACK_MS = 500
 
@@ -79,17 +81,17 @@
 		})
 	}
 
-	/** Asks until the worker tells the fate of each open attempt, or cannot tell any more. */
-	async function askFates(target: Target, open: Map<string, Attempt>, settle: Settle) {
-		let failedAsks = 0
-		while (open.size > 0 && failedAsks < MAX_FAILED_ASKS) {
-			await clock.sleep(ASK_PAUSE_MS)
-			const states = await askOnce(target, [...open.keys()])
+	/** Polls until the worker reports the end of each open attempt or fails to answer repeatedly. */
+	async function pollStates(target: Target, open: Map<string, Attempt>, settle: Settle) {
+		let failedPolls = 0
+		while (open.size > 0 && failedPolls < MAX_FAILED_POLLS) {
+			await clock.sleep(POLL_INTERVAL_MS)
+			const states = await readStates(target, [...open.keys()])
 			if (!states) {
-				failedAsks++
+				failedPolls++
 				continue
 			}
-			failedAsks = 0
+			failedPolls = 0
 			for (const {attempt, state, event} of states) {
 				if (state === "running" || !open.delete(attempt)) continue
 				if (event) settle(attempt, resultOf(event))
@@ -97,11 +99,11 @@
 			}
 		}
 		for (const id of open.keys()) {
-			settle(id, {type: "unknown", detail: `${target.id} cannot be reached any more`})
+			settle(id, {type: "unknown", detail: `${target.id} is unreachable`})
 		}
 	}
 
-	async function askOnce(
+	async function readStates(
 		target: Target,
 		attempts: readonly string[],
 	): Promise<readonly AttemptState[] | undefined> {
@@ -135,7 +137,7 @@
 					return
 				}
 			}
-			if (open.size > 0) await askFates(target, open, settle)
+			if (open.size > 0) await pollStates(target, open, settle)
 		},
 		async stop(target, attempts) {
 			const ids = attempts.map(attempt => attempt.id)
