--- a/packages/core/src/core/scheduler/admission.ts
+++ b/packages/core/src/core/scheduler/admission.ts
@@ -55,7 +55,7 @@
 		detail: string,
 	) => fail(reason, detail, {retryAfterMs: retryAfterMs(waitMs, deps.random)})
 	if (total + attempts > deps.maxQueuedTotal()) {
-		return refuse("overloaded", `${total} attempts are queued here`)
+		return refuse("overloaded", `${total} attempts wait here`)
 	}
 	if (ofTeam + attempts > deps.maxQueued(team)) {
 		return refuse("quota_exceeded", `team ${team} has ${ofTeam} attempts here`)
--- a/packages/ctl/src/commands/operators.ts
+++ b/packages/ctl/src/commands/operators.ts
@@ -51,7 +51,7 @@
 async function putConfig(invocation: Invocation, file: string): Promise<number> {
 	const {connection, asJson, flags} = invocation
 	if (flags.version === undefined) {
-		process.stderr.write("config put: --if-version N is required: the version to replace\n")
+		process.stderr.write("config put: --if-version N is needed: the version that it replaces\n")
 		return EXIT.usage
 	}
 	const result = await callEntry<VersionedConfig>(connection, "/v1/config", {
--- a/packages/ctl/src/commands/trace.ts
+++ b/packages/ctl/src/commands/trace.ts
@@ -79,7 +79,7 @@
 	const instances = instancesBySession(lines)
 	if (timeline.length === 0) {
 		const since = lines.map(({timestamp}) => timestamp).sort()[0] ?? "never: no lines were read"
-		printLine(`no lines of this job; the log begins ${since}`)
+		printLine(`not known here; the lines begin ${since}`)
 		return EXIT.failed
 	}
 	if (asJson) printJson(timeline)
--- a/packages/ctl/src/output.ts
+++ b/packages/ctl/src/output.ts
@@ -50,7 +50,7 @@
 export function reportFailure(failure: CallFailure, asJson: boolean): number {
 	if (asJson) process.stderr.write(`${JSON.stringify(failure)}\n`)
 	else {
-		const back = failure.retryAfterMs ? `; retry after ${failure.retryAfterMs} ms` : ""
+		const back = failure.retryAfterMs ? `; come back in ${failure.retryAfterMs} ms` : ""
 		process.stderr.write(`${failure.kind} (${failure.ran}): ${failure.detail}${back}\n`)
 	}
 	return exitCodeOf(failure)
--- a/packages/entry/src/dispatch/forwarding.ts
+++ b/packages/entry/src/dispatch/forwarding.ts
@@ -22,7 +22,7 @@
 	const unsettled = new Set(attempts.map(attempt => attempt.id))
 	if (!peer) {
 		for (const id of unsettled) {
-			deps.settle(id, {type: "not started", reason: "refused", detail: `no peer ${instance}`})
+			deps.settle(id, {type: "not started", reason: "refused", detail: `${instance} is gone`})
 		}
 		return
 	}
@@ -44,5 +44,5 @@
 		deps.settle(event.id, fromRunEvent(event))
 	})
 	call.on("error", error => settleRemaining(`${instance}: ${error.message}`))
-	call.on("end", () => settleRemaining(`${instance} closed the stream without an answer`))
+	call.on("end", () => settleRemaining(`${instance} ended the stream early`))
 }
--- a/packages/entry/src/dispatch/plans.ts
+++ b/packages/entry/src/dispatch/plans.ts
@@ -125,7 +125,7 @@
 		return fail("cannot_run", `task ${index}: no worker matches its selector`)
 	}
 	if (!matching.some(worker => worker.state === "live"))
-		return noCapacity(`task ${index}: all matching workers are leaving`)
+		return noCapacity(`task ${index}: every worker that matches is leaving`)
 	if (matching.some(worker => isLargeEnough(worker, plan.need))) return ok(undefined)
 	const {cpu, memoryMb, accelerators} = plan.need
 	const need = `${cpu} processors, ${memoryMb} MiB, ${accelerators} accelerators`
--- a/packages/entry/src/dispatch/router.ts
+++ b/packages/entry/src/dispatch/router.ts
@@ -118,7 +118,7 @@
 		const remainingMs = submission.head.deadlineAt - clock.now()
 		const outcome = await callSubmit(location.peer, submission, remainingMs)
 		if (outcome) return outcome
-		const detail = `${location.peer.instance} did not answer`
+		const detail = `${location.peer.instance} gave no answer`
 		return outcomeOf(new DispatchError("owner_unreachable", detail))
 	}
 
@@ -170,7 +170,7 @@
 			if (found) return found
 			const error = new DispatchError(
 				"owner_unreachable",
-				`${location.peer.instance} did not answer`,
+				`${location.peer.instance} gave no answer`,
 			)
 			return {type: "outcome", outcome: withRetryAfter(outcomeOf(error))}
 		},
--- a/packages/entry/src/targets/worker-client.ts
+++ b/packages/entry/src/targets/worker-client.ts
@@ -99,7 +99,7 @@
 			}
 		}
 		for (const id of open.keys()) {
-			settle(id, {type: "unknown", detail: `${target.id} is unreachable`})
+			settle(id, {type: "unknown", detail: `${target.id} cannot be reached any more`})
 		}
 	}
 
