--- a/packages/jobs/src/coordinate/candidates.ts
+++ b/packages/jobs/src/coordinate/candidates.ts
@@ -21,7 +21,7 @@
 	readonly view: FleetView
 	readonly self: Member
 	readonly hosts: Pick<HostedPlacers, "of" | "lastReportedRoom">
-	readonly peers: Pick<Peers, "quietMs">
+	readonly peers: Pick<Peers, "unansweredMs">
 	/** Recent lateness of this instance's timers, in milliseconds. */
 	readonly ownLateMs: () => number
 	/** Whether operators are evacuating a failure domain. */
@@ -65,7 +65,7 @@
 		const {placer} = claim
 		if (isOwn(claim)) return isAvailable(claim)
 		const isQuiet =
-			peers.quietMs(placer.address) >= STREAM_QUIET_MS + latenessAllowanceMs(deps, placer)
+			peers.unansweredMs(placer.address) >= STREAM_QUIET_MS + latenessAllowanceMs(deps, placer)
 		return isAvailable(claim) && !isQuiet
 	}
 
--- a/packages/jobs/src/coordinate/heartbeat-handler.ts
+++ b/packages/jobs/src/coordinate/heartbeat-handler.ts
@@ -13,7 +13,7 @@
 	readonly view: FleetView
 	readonly hosts: Pick<HostedPlacers, "rooms" | "placeWaiting">
 	readonly peers: Pick<Peers, "noteReachable">
-	readonly strain: LagMonitor
+	readonly lagMonitor: LagMonitor
 	readonly config: Pick<Configuration, "current" | "noteNewer">
 	readonly evacuations: Pick<Evacuations, "snapshot" | "applySnapshot">
 	readonly isLeaving: () => boolean
@@ -21,24 +21,24 @@
 
 export interface HeartbeatHandler {
 	own(): Heartbeat
-	take(beat: Heartbeat): void
-	takeRoom(news: RoomUpdate): void
+	applyHeartbeat(heartbeat: Heartbeat): void
+	applyRoomUpdate(update: RoomUpdate): void
 }
 
 export function createHeartbeatHandler(deps: HeartbeatHandlerDeps): HeartbeatHandler {
-	const {self, view, hosts, peers, strain, config, evacuations} = deps
+	const {self, view, hosts, peers, lagMonitor, config, evacuations} = deps
 	return {
 		own: () => ({
 			from: self,
 			claims: view.claims(),
 			rooms: hosts.rooms(),
 			isLeaving: deps.isLeaving(),
-			isStrained: strain.isStrained(),
-			lateMs: Math.round(strain.lateMs()),
+			isStrained: lagMonitor.isStrained(),
+			lateMs: Math.round(lagMonitor.lateMs()),
 			configVersion: config.current()?.version ?? 0,
 			evacuations: evacuations.snapshot(),
 		}),
-		take(heartbeat) {
+		applyHeartbeat(heartbeat) {
 			view.applyHeartbeat(heartbeat)
 			peers.noteReachable(heartbeat.from.address)
 			config.noteNewer(heartbeat.configVersion, heartbeat.from.name)
@@ -46,7 +46,7 @@
 				evacuations.applySnapshot(heartbeat.evacuations, heartbeat.from.name)
 			if (hasRoom(heartbeat.rooms)) hosts.placeWaiting()
 		},
-		takeRoom(update) {
+		applyRoomUpdate(update) {
 			view.applyRoomUpdate(update)
 			if (hasRoom(update.rooms)) hosts.placeWaiting()
 		},
--- a/packages/jobs/src/coordinate/hosted-placers.ts
+++ b/packages/jobs/src/coordinate/hosted-placers.ts
@@ -74,7 +74,7 @@
 	/** Whether operators are evacuating the failure domain. */
 	readonly isEvacuated: (failureDomain: string) => boolean
 	/** Starts storing the speeds learnt of a failure domain's executors. Absent: each placer learns for itself. */
-	readonly keepSpeeds?: (claim: Claim) => SpeedStore
+	readonly openSpeedStore?: (claim: Claim) => SpeedStore
 	/** Absent: no failure domain is sliced. */
 	readonly slices?: SliceRouting
 	/** Input of admission by forecast. Absent: jobs are judged by the backlog. */
@@ -155,7 +155,7 @@
 		const keeper = deps.createKeeper(claim, onDeposed)
 		const fenced = {failureDomain, fence, onFenced, orphansWaitMs, knowsAllExecutors}
 		const isEvacuated = () => deps.isEvacuated(failureDomain)
-		const speedStore = deps.keepSpeeds?.(claim)
+		const speedStore = deps.openSpeedStore?.(claim)
 		const {speeds} = speedStore ?? {}
 		const handOver = (item: WaitingTask) => handOverFrom({claim, placer}, item)
 		const own = {isEvacuated, kept: keeper, speeds, handOver}
--- a/packages/jobs/src/coordinate/job-mover.ts
+++ b/packages/jobs/src/coordinate/job-mover.ts
@@ -13,9 +13,9 @@
 	forecastLocalStartMs,
 	moveAfterMs,
 	mayMove,
-	needOf,
+	moveRequirementsOf,
 	type DomainReport,
-	type JobNeed,
+	type MoveRequirements,
 	type OwnDomain,
 } from "../decide/domain-choice.js"
 import type {Placer} from "../place/placer.js"
@@ -34,7 +34,7 @@
 export interface JobMoverDeps {
 	readonly clock: Clock
 	readonly view: FleetView
-	readonly peers: Pick<Peers, "quietMs">
+	readonly peers: Pick<Peers, "unansweredMs">
 	readonly self: Member
 	readonly rooms: RoomEstimates
 	readonly isEvacuated: (failureDomain: string) => boolean
@@ -61,7 +61,7 @@
 }
 
 interface Watched {
-	readonly need: JobNeed
+	readonly need: MoveRequirements
 	readonly run: JobRun
 	move: JobMove | undefined
 }
@@ -109,7 +109,7 @@
 			ageMs: clock.now() - at,
 			claimAgeMs: view.claimAgeMs(failureDomain),
 			silentMs: view.silentMs(placer.session),
-			quietMs: peers.quietMs(placer.address),
+			unansweredMs: peers.unansweredMs(placer.address),
 			isEvacuated: deps.isEvacuated(failureDomain),
 			isLeaving: view.isLeaving(placer.session),
 			isUnreachable: view.isUnreachable(placer.session),
@@ -123,7 +123,7 @@
 		return others.map(claim => reportOf(claim) ?? emptyReport(claim))
 	}
 
-	function choose(own: OwnDomain, need: JobNeed): JobMove | undefined {
+	function choose(own: OwnDomain, need: MoveRequirements): JobMove | undefined {
 		const choice = chooseDomain(own, allReports(), need, crossDomainMs)
 		const claim = choice && view.claimOf(choice.failureDomain)
 		if (!claim) return undefined
@@ -138,7 +138,7 @@
 	}
 
 	const needHere = (job: Job, queue: Queue) =>
-		needOf(job, queue, latestStartOnTime(job, queue) - clock.now())
+		moveRequirementsOf(job, queue, latestStartOnTime(job, queue) - clock.now())
 
 	return {
 		onArrival(placing, job, queue, isRefused) {
@@ -206,7 +206,7 @@
 		ageMs: Infinity,
 		claimAgeMs: 0,
 		silentMs: Infinity,
-		quietMs: 0,
+		unansweredMs: 0,
 		isEvacuated: false,
 		isLeaving: false,
 		isUnreachable: false,
--- a/packages/jobs/src/coordinate/job-run.ts
+++ b/packages/jobs/src/coordinate/job-run.ts
@@ -7,7 +7,7 @@
 	countCrash,
 	isPoisonTask,
 	hasTooManyCrashes,
-	noteCrash,
+	reportCrash,
 	NO_CRASHES,
 	type Crash,
 	type CrashCount,
@@ -241,7 +241,7 @@
 	/** Counts an executor's crash while it ran the task: certainly, possibly or not caused by the task. */
 	function recordCrash(task: TaskState, executor: string, crash: Crash) {
 		task.crashes = countCrash(task.crashes, crash)
-		noteCrash(deps, {job: job.id, task: task.name, run: task.run, executor, outcome: crash})
+		reportCrash(deps, {job: job.id, task: task.name, run: task.run, executor, outcome: crash})
 		const {known} = task.crashes
 		if (isPoisonTask(task.crashes, crash))
 			return finish({type: "failed", cause: `${known} executors crashed under ${task.name}`})
--- a/packages/jobs/src/decide/crashes.ts
+++ b/packages/jobs/src/decide/crashes.ts
@@ -49,7 +49,7 @@
 }
 
 /** Counts and logs a crash. */
-export function noteCrash(
+export function reportCrash(
 	{log, metrics}: {readonly log: EventLog; readonly metrics: JobMetrics},
 	fields: LogFields & {readonly outcome: Crash},
 ) {
--- a/packages/jobs/src/decide/domain-choice.ts
+++ b/packages/jobs/src/decide/domain-choice.ts
@@ -41,7 +41,7 @@
 	readonly ageMs: number
 	readonly claimAgeMs: number
 	readonly silentMs: number
-	readonly quietMs: number
+	readonly unansweredMs: number
 	readonly isEvacuated: boolean
 	readonly isLeaving: boolean
 	readonly isUnreachable: boolean
@@ -49,7 +49,7 @@
 }
 
 /** The requirements of a job that the choice depends on. */
-export interface JobNeed {
+export interface MoveRequirements {
 	/** Tasks without dependencies. */
 	readonly tasks: number
 	/** Millicores of the largest of these tasks. */
@@ -87,11 +87,11 @@
 	!isGang && !isLasting && !isFilling && !isServing
 
 /** The requirements of a job that may move; undefined if it must stay. */
-export function needOf(
+export function moveRequirementsOf(
 	{been, steps}: Job,
 	{advice}: Queue,
 	startInMs: number,
-): JobNeed | undefined {
+): MoveRequirements | undefined {
 	if (!been || been.length >= MAX_MOVES || advice || !steps.every(isPlain)) return undefined
 	const first = steps.filter(({after}) => after.length === 0)
 	const labels = steps.flatMap(({label, rack}) => [label, rack])
@@ -115,7 +115,7 @@
 /** The wait in the job's own domain, in milliseconds; at least as long as it has waited already. */
 export function forecastLocalStartMs(
 	{waitingWork, totalCpu, waitedMs}: OwnDomain,
-	{work}: JobNeed,
+	{work}: MoveRequirements,
 ) {
 	const ahead = waitedMs > 0 ? Math.max(waitingWork, work) : waitingWork + work
 	return Math.max(waitedMs, durationMs(ahead, totalCpu))
@@ -125,7 +125,7 @@
 export function acceptsJobs(report: DomainReport): boolean {
 	if (report.isEvacuated || report.isLeaving || report.isUnreachable || report.isStrained)
 		return false
-	if (report.silentMs >= MAX_SILENCE_MS || report.quietMs >= MAX_QUIET_MS) return false
+	if (report.silentMs >= MAX_SILENCE_MS || report.unansweredMs >= MAX_QUIET_MS) return false
 	return report.claimAgeMs >= STARTUP_MS && report.ageMs <= MAX_REPORT_AGE_MS
 }
 
@@ -150,7 +150,7 @@
 /** Whether the whole job fits into the own share of the room that the domain reported. */
 export function fitsThere(
 	report: DomainReport,
-	{tasks, cpu}: JobNeed,
+	{tasks, cpu}: MoveRequirements,
 	competitors: number,
 ): boolean {
 	const share = Math.floor(countFitting(report.reportedCpu, cpu) / competitors)
@@ -161,7 +161,7 @@
 /** The wait in another domain, in milliseconds; the queue may have grown for as long as the report is old. */
 export function forecastRemoteStartMs(
 	report: DomainReport,
-	need: JobNeed,
+	need: MoveRequirements,
 	competitors: number,
 ): number {
 	if (fitsThere(report, need, competitors)) return ROUND_TRIP_MS
@@ -180,7 +180,7 @@
 export function chooseDomain(
 	own: OwnDomain,
 	all: readonly DomainReport[],
-	need: JobNeed,
+	need: MoveRequirements,
 	crossDomainMs: number,
 ): DomainChoice | undefined {
 	const hereMs = forecastLocalStartMs(own, need)
--- a/packages/jobs/src/decide/room.ts
+++ b/packages/jobs/src/decide/room.ts
@@ -43,7 +43,7 @@
 	queue: TaskQueue,
 	{health, speeds}: ExecutorAssessment,
 ): Room {
-	const leastCpu = queue.minCpu()
+	const minCpu = queue.minCpu()
 	const freeCpu: number[] = []
 	const labels = new Set<string>()
 	let scaledCpu = 0
@@ -53,7 +53,7 @@
 		scaledCpu += capacity.cpu / speeds.expectedSlowness(id)
 		for (const label of link.record.labels) labels.add(label)
 		const free = link.freeCpu()
-		if (free >= 0 && free < leastCpu) insertIfLargest(freeCpu, free)
+		if (free >= 0 && free < minCpu) insertIfLargest(freeCpu, free)
 	}
 	const waitingWork = Math.round(queue.work())
 	return {freeCpu, totalCpu: Math.round(scaledCpu), waitingWork, labels: [...labels]}
--- a/packages/jobs/src/fleet/heartbeats.ts
+++ b/packages/jobs/src/fleet/heartbeats.ts
@@ -64,8 +64,8 @@
 	readonly ownHeartbeat: () => Heartbeat
 	/** The capacity of the failure domains placed here, by name. */
 	readonly rooms: () => Readonly<Record<string, Room>>
-	readonly onHeartbeat: (beat: Heartbeat) => void
-	readonly onRoomNews: (news: RoomUpdate) => void
+	readonly onHeartbeat: (heartbeat: Heartbeat) => void
+	readonly onRoomUpdate: (update: RoomUpdate) => void
 	/**
 	 * Whether callers of the own domain are, or may soon be, served by placers of other domains.
 	 */
@@ -212,7 +212,7 @@
 	sendHeartbeats()
 	return {
 		receive(message) {
-			if (message.type === "room") deps.onRoomNews(message)
+			if (message.type === "room") deps.onRoomUpdate(message)
 			else receiveHeartbeat(message)
 		},
 		noteRoomChange() {
--- a/packages/jobs/src/fleet/peers.ts
+++ b/packages/jobs/src/fleet/peers.ts
@@ -145,7 +145,7 @@
 	takeOver(address: string, message: TakeOverMessage, timeoutMs: number): PeerCall<TakeOverReply>
 	kept(address: string, message: KeptMessage, timeoutMs: number): PeerCall<KeptReply>
 	/** Milliseconds during which nothing was received from a peer while calls to it were open. */
-	quietMs(address: string): number
+	unansweredMs(address: string): number
 	/** Records that a datagram came from the address. */
 	noteReachable(address: string): void
 	close(): void
@@ -204,7 +204,7 @@
 			call(address, "runTask", message, timeoutMs, confirmedAt),
 		takeOver: (address, message, timeoutMs) => call(address, "takeOver", message, timeoutMs),
 		kept: (address, message, timeoutMs) => call(address, "kept", message, timeoutMs),
-		quietMs: address => clients.get(address)?.quietMs() ?? 0,
+		unansweredMs: address => clients.get(address)?.unansweredMs() ?? 0,
 		noteReachable: address => clients.get(address)?.noteReachable(),
 		close() {
 			for (const client of clients.values()) client.close()
--- a/packages/jobs/src/fleet/speed-store.ts
+++ b/packages/jobs/src/fleet/speed-store.ts
@@ -49,9 +49,9 @@
 /** Creates a store for each domain placed here, and gauges over all of them. */
 export function createSpeedStores(deps: SpeedStoreDeps): SpeedStores {
 	const stores = new Set<SpeedStore>()
-	const figures = () => [...stores].map(({speeds}) => speeds.stats())
-	deps.metrics.gauge("speeds_known", () => figures().reduce((sum, {known}) => sum + known, 0))
-	deps.metrics.gauge("speeds_spread", () => Math.max(1, ...figures().map(({spread}) => spread)))
+	const stats = () => [...stores].map(({speeds}) => speeds.stats())
+	deps.metrics.gauge("speeds_known", () => stats().reduce((sum, {known}) => sum + known, 0))
+	deps.metrics.gauge("speeds_spread", () => Math.max(1, ...stats().map(({spread}) => spread)))
 	return {
 		open(claim) {
 			const opened = openSpeedStore(deps, claim, () => stores.delete(opened))
--- a/packages/jobs/src/instance.ts
+++ b/packages/jobs/src/instance.ts
@@ -121,7 +121,7 @@
 	let isLeaving = false
 	let claims: ClaimsLoop | undefined = undefined
 	let isListed = false
-	const strain = createLagMonitor(clock)
+	const lagMonitor = createLagMonitor(clock)
 	const watermark = trackInputWatermark(clock)
 	const evacuations = createEvacuations({...deps, onChange: () => hosts.noteEvacuations()})
 	const onInForce = () => executors.notifyAgain()
@@ -132,7 +132,7 @@
 	function noteClaim(claim: Claim) {
 		logClaim(log, claim)
 		hosts.noteClaim(claim)
-		if (ownClaims.update(claim)) executors.readNow()
+		if (ownClaims.update(claim)) executors.refresh()
 	}
 	const view = createFleetView(clock, noteClaim, (reason, claim) => logInvalid(deps, reason, claim))
 	const {isUnderWay: isEvacuated} = evacuations
@@ -161,7 +161,7 @@
 		executorsOf: slicing.executorsOf,
 		slices: slicing,
 		isEvacuated,
-		keepSpeeds: speedStoreOpenerFor(placing, {...deps, clock}),
+		openSpeedStore: speedStoreOpenerFor(placing, {...deps, clock}),
 		forecasting: forecastingOf(settings, view, self, config),
 		...wholeJobs,
 	})
@@ -171,7 +171,7 @@
 		config: config.current,
 		refreshConfig: config.refresh,
 		isLeaving: () => isLeaving,
-		ownLateMs: strain.lateMs,
+		ownLateMs: lagMonitor.lateMs,
 		isEvacuated,
 		...wholeJobs,
 		rescheduleLostJob: placing.placesAnew ? createRescheduler({...common, leaseRule}) : undefined,
@@ -195,7 +195,7 @@
 	const heartbeatHandler = createHeartbeatHandler({
 		...common,
 		hosts,
-		strain,
+		lagMonitor,
 		config,
 		evacuations,
 		isLeaving: () => isLeaving,
@@ -206,8 +206,8 @@
 		claims?.checkNow()
 	})
 	const server = await listenPeers(self.address, {
-		beat(beat) {
-			heartbeatHandler.take(beat)
+		beat(heartbeat) {
+			heartbeatHandler.applyHeartbeat(heartbeat)
 			return heartbeatHandler.own()
 		},
 		runJob: (message, caller) => dispatcher.runJob(message, caller),
@@ -225,14 +225,14 @@
 		send: datagrams.send,
 		ownHeartbeat: heartbeatHandler.own,
 		rooms: hosts.rooms,
-		onHeartbeat: heartbeatHandler.take,
-		onRoomNews: heartbeatHandler.takeRoom,
+		onHeartbeat: heartbeatHandler.applyHeartbeat,
+		onRoomUpdate: heartbeatHandler.applyRoomUpdate,
 		needsOthers: () => evacuations.isUnderWay(self.failureDomain) || isHomeQuiet(),
 		linkMbps: settings.linkMbps,
 	})
 	function isHomeQuiet(): boolean {
 		const home = view.claimOf(self.failureDomain)?.placer
-		return home !== undefined && peers.quietMs(home.address) > HOME_QUIET_LIMIT_MS
+		return home !== undefined && peers.unansweredMs(home.address) > HOME_QUIET_LIMIT_MS
 	}
 
 	const registration = beginRegistration(self, {clock, store, log})
@@ -244,7 +244,7 @@
 		claims: () => claims as ClaimsLoop,
 		placedDomains: () => Object.keys(hosts.rooms()),
 		isLeaving: () => isLeaving,
-		isStrained: strain.isStrained,
+		isStrained: lagMonitor.isStrained,
 	})
 	claims = createClaimsLoop({
 		...common,
@@ -253,7 +253,7 @@
 			settings.failureDomains.flatMap(name => sliceNames(name, view.sliceCount(name))),
 		isLeaving: () => isLeaving,
 		ping: heartbeats.ping,
-		ownLateMs: strain.lateMs,
+		ownLateMs: lagMonitor.lateMs,
 		...createReachabilityProbe({...deps, clock, latestExecutors: executors.latest}),
 	})
 
@@ -276,7 +276,7 @@
 		async close() {
 			await registration.end()
 			const deciding = [
-				strain,
+				lagMonitor,
 				watermark,
 				claims as ClaimsLoop,
 				handover,
--- a/packages/jobs/src/keep/job-occurrence.ts
+++ b/packages/jobs/src/keep/job-occurrence.ts
@@ -11,7 +11,7 @@
 import {
 	countCrash,
 	isPoisonTask,
-	noteCrash,
+	reportCrash,
 	type Crash,
 	type CrashCount,
 } from "../decide/crashes.js"
@@ -155,7 +155,7 @@
 	/** Recorded so that the next placer does not start the task as often again. */
 	function handleTaskCrashed(task: TaskState, crash: Crash): EndRecorded {
 		task.crashes = countCrash(task.crashes, crash)
-		noteCrash(deps, {job: record.id, task: task.name, run: task.run, outcome: crash})
+		reportCrash(deps, {job: record.id, task: task.name, run: task.run, outcome: crash})
 		const {known} = task.crashes
 		const recorded =
 			crash === "possible" ? undefined : deps.recordCrash(shortName(task.name), known)
@@ -295,8 +295,8 @@
 	if (avoided.length > MAX_AVOIDED) avoided.shift()
 }
 
-function lastingRetryMs({shortRuns: ends}: TaskState): number {
-	return Math.min(MAX_LASTING_RETRY_MS, MIN_LASTING_RETRY_MS * 2 ** Math.min(ends, 6))
+function lastingRetryMs({shortRuns}: TaskState): number {
+	return Math.min(MAX_LASTING_RETRY_MS, MIN_LASTING_RETRY_MS * 2 ** Math.min(shortRuns, 6))
 }
 
 function createTasks(
--- a/packages/jobs/src/keep/sweeper.ts
+++ b/packages/jobs/src/keep/sweeper.ts
@@ -25,11 +25,11 @@
 
 /** Sweeps until it is closed. */
 export function startSweeper(deps: SweeperDeps): {close(): void} {
-	const {clock, wall, store, log, retentionMs: keepMs} = deps
+	const {clock, wall, store, log, retentionMs} = deps
 	let isClosed = false
 
 	const isExpired = ({value}: StoreItem) =>
-		wall.now() - (value as EndRecord).endedAtMs > keepMs + CLOCK_MARGIN_MS
+		wall.now() - (value as EndRecord).endedAtMs > retentionMs + CLOCK_MARGIN_MS
 
 	async function sweep() {
 		const listing = await store.list(ENDED_JOBS_PREFIX)
--- a/packages/jobs/src/link/executor-clock.ts
+++ b/packages/jobs/src/link/executor-clock.ts
@@ -41,12 +41,12 @@
 	/** On this process's clock: an executor that has not answered has reported no reading. */
 	let assumedUntil = -Infinity
 
-	function lowest(now: number): number | undefined {
+	function lowestReading(now: number): number | undefined {
 		return reading && reading.clockMs + (now - reading.at) * SLOWEST_RATE
 	}
 
 	function leasesEndAt(now: number): number {
-		const clockMs = lowest(now)
+		const clockMs = lowestReading(now)
 		if (clockMs === undefined) return assumedUntil
 		const ownEndAt = now + (leaseUntilMs - clockMs) / SLOWEST_RATE + endMarginMs
 		return Math.max(assumedUntil, ownEndAt)
@@ -55,10 +55,10 @@
 	return {
 		observe(clockMs, now) {
 			// Answers may arrive out of order; a lower reading adds nothing.
-			if (clockMs >= (lowest(now) ?? -Infinity)) reading = {clockMs, at: now}
+			if (clockMs >= (lowestReading(now) ?? -Infinity)) reading = {clockMs, at: now}
 		},
 		readingAgeMs: now => reading && now - reading.at,
-		lowestReading: lowest,
+		lowestReading,
 		noteLease(untilMs) {
 			leaseUntilMs = Math.max(leaseUntilMs, untilMs)
 		},
--- a/packages/jobs/src/link/executor-link.ts
+++ b/packages/jobs/src/link/executor-link.ts
@@ -113,7 +113,10 @@
 			return run
 		},
 		runs: () =>
-			[...link.runs.values()].map(run => ({run, isStarted: run.listedFrom !== undefined})),
+			[...link.runs.values()].map(run => ({
+				run,
+				isStarted: run.absenceProvesEndFrom !== undefined,
+			})),
 		cancel: (run, cause = "cancelled") => stopRun(link, run, cause),
 		offerOrphans: () => offerOrphans(link),
 		retire() {
--- a/packages/jobs/src/link/hold.ts
+++ b/packages/jobs/src/link/hold.ts
@@ -162,7 +162,7 @@
 	link.orphans = unknown
 	settleUnlisted(link, listed, sentAt)
 	if (!link.isFenceTaken) noteFenceTaken(link)
-	else if (hadOrphans && unknown.size === 0) link.deps.onRoom()
+	else if (hadOrphans && unknown.size === 0) link.deps.onRoomFreed()
 }
 
 function noteOrphan(link: LinkState, row: RunningTask): string {
@@ -173,7 +173,7 @@
 
 function settleUnlisted(link: LinkState, listed: ReadonlySet<string>, sentAt: number) {
 	for (const run of [...link.runs.values()]) {
-		if (run.listedFrom === undefined || run.listedFrom > sentAt) continue
+		if (run.absenceProvesEndFrom === undefined || run.absenceProvesEndFrom > sentAt) continue
 		if (listed.has(run.req.task)) continue
 		void settleRun(link, run, endWithoutResult(link, run, "not there"), "not in a list")
 	}
@@ -181,12 +181,12 @@
 
 function noteFenceTaken(link: LinkState) {
 	link.isFenceTaken = true
-	const {clock, log, fence, leaseRule, onRoom} = link.deps
+	const {clock, log, fence, leaseRule, onRoomFreed} = link.deps
 	// Until this answer the previous placer may have requested leases.
 	link.executorClock.assumeLeases(leaseRule.longestEndMs, clock.now())
 	const fields = {executor: link.record.id, fence, count: link.orphans.size}
 	log.event("executor", "fence_taken", "executor: accepted the fence.", fields)
-	onRoom()
+	onRoomFreed()
 }
 
 function noteEnd(link: LinkState, end: RunEnd) {
@@ -266,7 +266,7 @@
 	}
 	noteAdopted(link, run, isThere ? "listed" : "not listed yet")
 	link.orphans = new Set([...link.orphans].filter(orphan => orphan !== name))
-	if (link.orphans.size === 0) link.deps.onRoom()
+	if (link.orphans.size === 0) link.deps.onRoomFreed()
 }
 
 /**
--- a/packages/jobs/src/link/orders.ts
+++ b/packages/jobs/src/link/orders.ts
@@ -49,7 +49,7 @@
 		req,
 		startedAt: now,
 		state: "starting",
-		listedFrom: undefined,
+		absenceProvesEndFrom: undefined,
 		hasUnansweredStart: false,
 		mayHaveStarted: false,
 		stopCause: undefined,
@@ -76,7 +76,7 @@
 	const run = newRun(link, req, onEnd)
 	run.state = "running"
 	run.mayHaveStarted = true
-	run.listedFrom = link.deps.clock.now()
+	run.absenceProvesEndFrom = link.deps.clock.now()
 	return run
 }
 
@@ -126,7 +126,7 @@
  * doesn't leave the run beside the task's next run.
  */
 export async function stopOrphan(link: LinkState, task: string, run: number) {
-	const {clock, log, metrics, fence, onRoom} = link.deps
+	const {clock, log, metrics, fence, onRoomFreed} = link.deps
 	const name = runName(task, run)
 	if (link.stoppingOrphans.has(name)) return
 	link.stoppingOrphans.add(name)
@@ -141,7 +141,7 @@
 	clock.schedule(stopDurationMs(link), () => {
 		// A run that is still listed is stopped once more.
 		link.stoppingOrphans.delete(name)
-		onRoom()
+		onRoomFreed()
 	})
 }
 
@@ -266,7 +266,7 @@
 /** Marks a run as started; from now on the executor's lists tell whether it is gone. */
 function noteStarted(run: Run, now: number) {
 	// Keeps the later time of an answered stop, which takes time whatever answer follows.
-	run.listedFrom = Math.max(run.listedFrom ?? now, now)
+	run.absenceProvesEndFrom = Math.max(run.absenceProvesEndFrom ?? now, now)
 	run.hasUnansweredStart = false
 	if (run.state === "starting") run.state = "running"
 }
@@ -285,7 +285,7 @@
 	if (cause === "ticket") link.deps.tickets.refuse(stepNameOf(task), link.record.id)
 	if (cause === "unhealthy") {
 		link.unhealthyUntil = link.deps.clock.now() + UNHEALTHY_PAUSE_MS
-		link.deps.clock.schedule(UNHEALTHY_PAUSE_MS, link.deps.onRoom)
+		link.deps.clock.schedule(UNHEALTHY_PAUSE_MS, link.deps.onRoomFreed)
 	}
 }
 
@@ -305,7 +305,7 @@
 	const {task, run: number} = run.req
 	while (!link.isClosed && isCurrent(link, run)) {
 		if (await tryStop(link, task, number)) {
-			run.listedFrom = clock.now() + stopDurationMs(link)
+			run.absenceProvesEndFrom = clock.now() + stopDurationMs(link)
 			return
 		}
 		await clock.sleep(STOP_RETRY_MS)
--- a/packages/jobs/src/link/state.ts
+++ b/packages/jobs/src/link/state.ts
@@ -55,7 +55,7 @@
 	 */
 	readonly orphansWaitUntil: number
 	/** Called when capacity was freed or an executor became usable. */
-	readonly onRoom: () => void
+	readonly onRoomFreed: () => void
 	/** Called when the executor has seen a higher fence. */
 	readonly onFenced: (executor: ExecutorRecord) => void
 	readonly onRunEnd: (executor: string, run: Run, end: TaskEnd, proof: RunProof) => void
@@ -235,7 +235,7 @@
 	link.deps.metrics.count("task_ends", end.type)
 	link.deps.onRunEnd(link.record.id, run, end, proof)
 	const recorded = run.onEnd(end)
-	link.deps.onRoom()
+	link.deps.onRoomFreed()
 	return recorded
 }
 
--- a/packages/jobs/src/place/executor-list.ts
+++ b/packages/jobs/src/place/executor-list.ts
@@ -39,7 +39,7 @@
 	latest(): readonly ExecutorRecord[] | undefined
 	recordsOf(failureDomain: string): readonly ExecutorRecord[]
 	/** Reads the list at once, when it starts being needed. */
-	readNow(): void
+	refresh(): void
 	/** Calls `onList` again with the latest known list. */
 	notifyAgain(): void
 	close(): void
@@ -151,7 +151,7 @@
 		latest: () => (deps.isNeeded() ? [...known.values()] : undefined),
 		recordsOf: failureDomain =>
 			[...known.values()].filter(record => record.failureDomain === failureDomain),
-		readNow: follower.refresh,
+		refresh: follower.refresh,
 		notifyAgain: notify,
 		close: follower.close,
 	}
--- a/packages/jobs/src/place/placer-links.ts
+++ b/packages/jobs/src/place/placer-links.ts
@@ -43,7 +43,7 @@
 		tickets: state.tickets,
 		losses: state.losses,
 		runCounts: state.runCounts,
-		onRoom: () => schedulePass(state),
+		onRoomFreed: () => schedulePass(state),
 		onFenced,
 		onRunEnd: state.assessment.observe,
 		onProgress: state.assessment.noteProgress,
--- a/packages/jobs/src/place/run.ts
+++ b/packages/jobs/src/place/run.ts
@@ -97,7 +97,7 @@
 	 * An executor's list made after this time without the run proves that it has ended: when the executor last answered a start, or
 	 * a stop plus the time that a stop may take; undefined before the first answer.
 	 */
-	listedFrom: number | undefined
+	absenceProvesEndFrom: number | undefined
 	/** Whether a start order was not answered, and none was answered since. */
 	hasUnansweredStart: boolean
 	/** Whether a start order may have been carried out. */
--- a/packages/jobs/test/placers-at-hand.test.ts
+++ b/packages/jobs/test/available-placers.test.ts
@@ -32,7 +32,7 @@
 		view,
 		self,
 		peers: fakePeers({
-			quietMs: address => quiet.get(address) ?? 0,
+			unansweredMs: address => quiet.get(address) ?? 0,
 			runJob(address) {
 				asked.push(address)
 				const reply = Promise.resolve<JobReply>({type: "completed"})
--- a/packages/jobs/test/domain-choice.test.ts
+++ b/packages/jobs/test/domain-choice.test.ts
@@ -3,15 +3,15 @@
 import {
 	chooseDomain,
 	forecastLocalStartMs,
-	needOf,
+	moveRequirementsOf,
 	type DomainReport,
-	type JobNeed,
+	type MoveRequirements,
 	type OwnDomain,
 } from "@cottonwood/jobs/internals"
 import {expect} from "chai"
 import {QUEUE} from "./support/requests.js"
 
-const NEED: JobNeed = {
+const NEED: MoveRequirements = {
 	tasks: 2,
 	cpu: 8_000,
 	work: 1_600,
@@ -41,7 +41,7 @@
 	ageMs: 20,
 	claimAgeMs: 60_000,
 	silentMs: 20,
-	quietMs: 0,
+	unansweredMs: 0,
 	isEvacuated: false,
 	isLeaving: false,
 	isUnreachable: false,
@@ -89,7 +89,7 @@
 			{isUnreachable: true},
 			{isStrained: true},
 			{silentMs: 700},
-			{quietMs: 350},
+			{unansweredMs: 350},
 			{claimAgeMs: 100},
 		]
 		for (const changes of unfit)
@@ -130,10 +130,14 @@
 		}
 		const advised: Queue = {...QUEUE, advice: {decideMs: 1, perExecutorMs: 0}}
 		const gang = {...job, steps: [{...step, after: [], isGang: true}]}
-		expect(needOf(job, QUEUE, 100)).to.eql(NEED)
-		expect(needOf({...job, been: undefined}, QUEUE, 100), "switched off").to.equal(undefined)
-		expect(needOf({...job, been: ["a", "b"]}, QUEUE, 100), "moved twice").to.equal(undefined)
-		expect(needOf(job, advised, 100)).to.equal(undefined)
-		expect(needOf(gang, QUEUE, 100)).to.equal(undefined)
+		expect(moveRequirementsOf(job, QUEUE, 100)).to.eql(NEED)
+		expect(moveRequirementsOf({...job, been: undefined}, QUEUE, 100), "switched off").to.equal(
+			undefined,
+		)
+		expect(moveRequirementsOf({...job, been: ["a", "b"]}, QUEUE, 100), "moved twice").to.equal(
+			undefined,
+		)
+		expect(moveRequirementsOf(job, advised, 100)).to.equal(undefined)
+		expect(moveRequirementsOf(gang, QUEUE, 100)).to.equal(undefined)
 	})
 })
--- a/packages/jobs/test/beats.test.ts
+++ b/packages/jobs/test/heartbeats.test.ts
@@ -51,7 +51,7 @@
 		}),
 		rooms,
 		onHeartbeat: () => undefined,
-		onRoomNews: () => undefined,
+		onRoomUpdate: () => undefined,
 		needsOthers: () => false,
 		linkMbps,
 	})
--- a/packages/jobs/test/speeds-taken-over.test.ts
+++ b/packages/jobs/test/inherited-speeds.test.ts
@@ -41,7 +41,7 @@
 		createKeeper: () => keeper as unknown as Keeper,
 		executorsOf: () => EXECUTORS,
 		isEvacuated: () => false,
-		keepSpeeds: createSpeedStores({clock, store, log: silentLog, metrics}).open,
+		openSpeedStore: createSpeedStores({clock, store, log: silentLog, metrics}).open,
 	})
 	const claimOf = (fence: number): Claim => ({failureDomain: "a", fence, placer: self})
 	async function place(task: string) {
--- a/packages/jobs/test/support/peers.ts
+++ b/packages/jobs/test/support/peers.ts
@@ -15,7 +15,7 @@
 		takeOver: unused,
 		kept: unused,
 		noteReachable: () => undefined,
-		quietMs: () => 0,
+		unansweredMs: () => 0,
 		close: unused,
 		...changes,
 	}
--- a/packages/jobs/test/support/replay/replay-scenario.ts
+++ b/packages/jobs/test/support/replay/replay-scenario.ts
@@ -48,7 +48,7 @@
 	readonly lengthMs: number
 	readonly disturbances: readonly ReplayDisturbance[]
 	/** How a domain's executor speeds are stored; by default each placer learns them for itself. */
-	readonly keepSpeeds?: ReplayWorldOptions["keepSpeeds"]
+	readonly openSpeedStore?: ReplayWorldOptions["openSpeedStore"]
 	/** Jobs are judged by forecasts. */
 	readonly isForecasting?: boolean
 	readonly shares?: ReplayShares
@@ -261,7 +261,7 @@
 		hasEntries: day.hasEntries,
 		clock,
 		random: seededRandom(seed + 1_000_003),
-		keepSpeeds: day.keepSpeeds,
+		openSpeedStore: day.openSpeedStore,
 		isForecasting: day.isForecasting,
 		shares: day.shares,
 	})
--- a/packages/jobs/test/support/replay/replay-world.ts
+++ b/packages/jobs/test/support/replay/replay-world.ts
@@ -61,7 +61,7 @@
 	readonly clock: ReplayClock
 	readonly random: () => number
 	/** Creates the store of a domain's executor speeds; without it each placer learns for itself. */
-	readonly keepSpeeds?: (clock: ReplayClock, executors: readonly ReplayExecutor[]) => SpeedStore
+	readonly openSpeedStore?: (clock: ReplayClock, executors: readonly ReplayExecutor[]) => SpeedStore
 	/** Jobs are judged by forecasts. */
 	readonly isForecasting?: boolean
 	/** Weights and floors, by kind. */
@@ -100,7 +100,7 @@
 }
 
 export function createReplayWorld(options: ReplayWorldOptions): ReplayWorld {
-	const {clock, failureDomains, random, work, keepSpeeds} = options
+	const {clock, failureDomains, random, work, openSpeedStore} = options
 	const queues = queuesOf(work)
 	const queueOf = (name: string) => queues.find(queue => queue.name === name) as Queue
 	const evacuated = new Set<string>()
@@ -234,7 +234,7 @@
 			takeOver: unused,
 			kept: unused,
 			noteReachable: () => undefined,
-			quietMs: () => 0,
+			unansweredMs: () => 0,
 			close: () => undefined,
 		}
 		const view = createFleetView(clock, claim => hosts.noteClaim(claim))
@@ -265,7 +265,7 @@
 			createKeeper: () => keeper,
 			executorsOf: recordsOf,
 			isEvacuated,
-			keepSpeeds: keepSpeeds && (() => keepSpeeds(clock, executors)),
+			openSpeedStore: openSpeedStore && (() => openSpeedStore(clock, executors)),
 			forecasting: options.isForecasting
 				? {
 						borrowableCores: () => borrowableCoresOf(view, self, clock.now()),
@@ -324,7 +324,7 @@
 			ownHeartbeat: ownBeat,
 			rooms: hosts.rooms,
 			onHeartbeat: takeBeat,
-			onRoomNews(news) {
+			onRoomUpdate(news) {
 				view.applyRoomUpdate(news)
 				if (Object.values(news.rooms).some(({freeCpu}) => freeCpu.length > 0)) hosts.placeWaiting()
 			},
--- a/packages/jobs/test/support/sliced-domain.ts
+++ b/packages/jobs/test/support/sliced-domain.ts
@@ -240,7 +240,7 @@
 				view.applyHeartbeat(beat)
 				hosts.placeWaiting()
 			},
-			onRoomNews(news) {
+			onRoomUpdate(news) {
 				view.applyRoomUpdate(news)
 				hosts.placeWaiting()
 			},
--- a/packages/jobs/test/uneven-executors.test.ts
+++ b/packages/jobs/test/uneven-executors.test.ts
@@ -107,7 +107,7 @@
 		lengthMs: 1_000,
 		disturbances: [],
 	}
-	const knownSpeeds: ReplayScenario["keepSpeeds"] = (clock, executors) => {
+	const knownSpeeds: ReplayScenario["openSpeedStore"] = (clock, executors) => {
 		const speeds = createPersistentSpeeds(() => clock.now())
 		const pairs = executors.map(({record: {id}, faults}) => [id, faults.slowness] as const)
 		inheritSpeeds(speeds, Object.fromEntries(pairs))
@@ -128,7 +128,7 @@
 
 	it("serve more jobs in time in the first second when their speeds are known", async () => {
 		const learnt = await replayAll(CREST)
-		const known = await replayAll({...CREST, keepSpeeds: knownSpeeds})
+		const known = await replayAll({...CREST, openSpeedStore: knownSpeeds})
 		for (const [name, all] of [
 			["learnt", learnt],
 			["known", known],
--- a/packages/wire/src/json-client.ts
+++ b/packages/wire/src/json-client.ts
@@ -74,7 +74,7 @@
 	 * How long nothing was received while calls were pending, in milliseconds; 0 while none is. The
 	 * server sends a reading every 100 ms.
 	 */
-	quietMs(): number
+	unansweredMs(): number
 	/** Notes that the peer was heard by other means; replaces a stuck attempt to connect. */
 	noteReachable(): void
 	close(): void
@@ -98,7 +98,7 @@
 interface Exchange {
 	readonly begin: (call: PendingCall) => void
 	readonly cancel: (call: PendingCall, cause: string) => void
-	readonly quietMs: () => number
+	readonly unansweredMs: () => number
 	/** Starts another attempt to connect, unless the stream is connected. */
 	readonly reconnect: () => void
 	readonly close: () => void
@@ -139,7 +139,7 @@
 			if (!isBroken) stream.write(bytes)
 		})
 		const close = () => stream.cancel()
-		const exchange: Exchange = {begin, cancel, reconnect, quietMs, close}
+		const exchange: Exchange = {begin, cancel, reconnect, unansweredMs, close}
 
 		function fail(cause: string) {
 			clearTimeout(timer)
@@ -197,7 +197,7 @@
 		}
 
 		/** Calls are sent in order, so the first pending one has waited longest. */
-		function quietMs(): number {
+		function unansweredMs(): number {
 			const [oldest] = pending.values()
 			if (oldest?.sentAt === undefined) return 0
 			return systemClock.now() - Math.max(readAt, oldest.sentAt)
@@ -280,7 +280,7 @@
 			})
 			return {reply, cancel: () => giveUp("cancelled")}
 		},
-		quietMs: () => current?.quietMs() ?? 0,
+		unansweredMs: () => current?.unansweredMs() ?? 0,
 		noteReachable() {
 			const now = systemClock.now()
 			const wasSilent = now - heardAt >= CUT_OFF_MS
--- a/packages/wire/test/json-service.test.ts
+++ b/packages/wire/test/json-service.test.ts
@@ -69,13 +69,13 @@
 
 	it("counts as quiet only while sent calls get no readings", async () => {
 		const {client, close} = await createWorld({wait: () => sleep(400)})
-		expect(client.quietMs()).to.equal(0)
+		expect(client.unansweredMs()).to.equal(0)
 		const call = client.call("wait", "", 2_000)
 		await sleep(350)
 		// Readings arrive every 100 ms; the machine may be late.
-		expect(client.quietMs()).to.be.lessThan(200)
+		expect(client.unansweredMs()).to.be.lessThan(200)
 		await call.reply
-		expect(client.quietMs()).to.equal(0)
+		expect(client.unansweredMs()).to.equal(0)
 		close()
 		const silent = createServer(() => undefined)
 		await new Promise<void>(resolve => silent.listen(0, "127.0.0.1", resolve))
@@ -84,7 +84,7 @@
 		unanswered.call("wait", "", 250)
 		await sleep(150)
 		// A call that was not sent does not count as ignored.
-		expect(unanswered.quietMs()).to.equal(0)
+		expect(unanswered.unansweredMs()).to.equal(0)
 		unanswered.close()
 		silent.close()
 	})
