--- a/packages/jobs/test/support/frozen-samples.ts
+++ b/packages/jobs/test/support/frozen-samples.ts
@@ -1,4 +1,7 @@
-/** What instances send each other and store, as literal text: another version's instance writes and reads it so. */
+/**
+ * Messages between instances and stored entries as literal JSON. Instances of other versions write and read exactly these
+ * fields, so the texts change only together with a compatible change of the format.
+ */
 
 export const MEMBER =
 	'{"name":"b-1","session":"sb","failureDomain":"b","address":"b-1:1","cpuShare":2}'
@@ -50,8 +53,8 @@
 	"failureDomain":"b","capacity":{"cpu":64000,"memoryMb":1000,"accelerators":0},"labels":["r1"],
 	"rack":"r1","isLeaving":false}],"from":"sa"}`
 
-export const sample = (text: string) => JSON.parse(text) as Readonly<Record<string, unknown>>
-/** The room of domain b in a datagram. */
-export const roomIn = (text: string) => (sample(text)["rooms"] as Record<string, object>)["b"]
-/** As it leaves the process. */
-export const sent = (value: unknown): unknown => JSON.parse(JSON.stringify(value))
+export const parseSample = (text: string) => JSON.parse(text) as Readonly<Record<string, unknown>>
+/** Returns the room of domain b in a datagram. */
+export const roomIn = (text: string) => (parseSample(text)["rooms"] as Record<string, object>)["b"]
+/** Returns a value as its receiver parses it: through JSON and back. */
+export const serialized = (value: unknown): unknown => JSON.parse(JSON.stringify(value))
--- a/packages/wire/test/frozen-frames.test.ts
+++ b/packages/wire/test/frozen-frames.test.ts
@@ -1,6 +1,6 @@
 /**
- * Frames of the stream between instances, as literal text: a field that is renamed on one side alone would cut off every
- * instance of another version.
+ * Freezes the frames of the stream between instances as literal JSON. A renamed field fails a test here instead of cutting off
+ * the instances of another version.
  */
 import {connectJson, listenJson, type JsonCaller} from "@cottonwood/wire/json"
 import * as grpc from "@grpc/grpc-js"
@@ -15,18 +15,28 @@
 const ANSWER = '{"id":1,"value":"done"}'
 const ERROR = '{"id":2,"error":"broken"}'
 
+const TIMEOUT_MS = 20_000
+/** Far above any delay on loopback. */
+const MARGIN_MS = 20_000
+/** Readings of the server's clock, far from the local clock and from each other, so that a wrong clock or unit fails. */
+const FIRST_READING = 5_000_000
+const SECOND_READING = 6_000_000
+const CONFIRMATION_AGE_MS = 100_000
+
 type Frame = Readonly<Record<string, unknown>>
 const asFrame = (text: string) => JSON.parse(text) as Frame
+const pulseWith = (reading: number) => PULSE.replace("5000", String(reading))
 const write = (text: string) => Buffer.from(text)
 const read = (bytes: Buffer) => JSON.parse(bytes.toString("utf8")) as Frame[]
 const sleep = (ms: number) => new Promise<void>(resolve => setTimeout(resolve, ms))
 
 async function until(isMet: () => boolean) {
-	for (let tries = 0; tries < 300 && !isMet(); tries++) await sleep(10)
+	const giveUpAt = performance.now() + TIMEOUT_MS
+	while (!isMet() && performance.now() < giveUpAt) await sleep(10)
 	expect(isMet()).to.equal(true)
 }
 
-/** A server that writes and reads frames as text. */
+/** Starts a gRPC server that sends literal text and passes received frames to `onFrame`. */
 async function listenRaw(onFrame: (frame: Frame, send: (text: string) => void) => void) {
 	const server = new grpc.Server()
 	const exchange = {
@@ -45,7 +55,7 @@
 				const send = (text: string) => void stream.write(`[${text}]`)
 				stream.on("data", (frames: Frame[]) => frames.forEach(frame => onFrame(frame, send)))
 				stream.on("error", () => undefined)
-				send(PULSE)
+				send(pulseWith(FIRST_READING))
 			},
 		},
 	)
@@ -64,8 +74,8 @@
 	return address
 }
 
-describe("frames as other versions write them", () => {
-	it("are read by the side that is called, whose own are as they were", async () => {
+describe("frames between instances", () => {
+	it("the server reads every frame of a client and writes the same frames", async () => {
 		const address = await freeAddress()
 		const callers: JsonCaller[] = []
 		const messages: unknown[] = []
@@ -85,6 +95,7 @@
 		stream.on("error", () => undefined)
 		await until(() => frames.length > 0)
 		expect(Object.keys(frames[0] as Frame)).to.eql(Object.keys(asFrame(PULSE)))
+		expect(frames[0]?.["pulse"]).to.be.a("number")
 
 		stream.write(`[${CALL},${OTHER_CALL}]`)
 		await until(() => callers.length === 2)
@@ -108,7 +119,7 @@
 		server.close()
 	})
 
-	it("are read by the side that calls, whose own are as they were", async () => {
+	it("the client reads every frame of a server and writes the same frames", async () => {
 		const frames: Frame[] = []
 		let send: (text: string) => void = () => undefined
 		const raw = await listenRaw((frame, reply) => {
@@ -116,24 +127,26 @@
 			send = reply
 		})
 		const client = connectJson("test.Service", raw.address)
-		const first = client.call("wait", {text: "a"}, 5_000)
-		const second = client.call("wait", "b", 5_000, () => 0)
-		const third = client.call("wait", "c", 5_000)
+		const secondConfirmedAt = performance.now() - CONFIRMATION_AGE_MS
+		const first = client.call("wait", {text: "a"}, TIMEOUT_MS)
+		const second = client.call("wait", "b", TIMEOUT_MS, () => secondConfirmedAt)
+		const third = client.call("wait", "c", TIMEOUT_MS)
 		await until(() => frames.length === 3)
-		// Calls wait for a reading of the peer's clock, so these show that it was read.
+		// The client sends calls only after a reading of the server's clock.
 		const sent = frames[0] as Frame
 		expect(Object.keys(sent)).to.eql(Object.keys(asFrame(CALL)))
 		expect(sent).to.deep.include({id: 1, method: "wait", message: {text: "a"}})
-		expect(sent["madeAt"]).to.be.within(4_000, 5_000)
-		expect(sent["confirmedAt"]).to.be.within(4_000, 5_100)
+		expect(sent["madeAt"]).to.be.within(FIRST_READING - MARGIN_MS, FIRST_READING)
+		expect(sent["confirmedAt"]).to.be.closeTo(FIRST_READING, MARGIN_MS)
 
-		send(PULSE.replace("5000", "6000"))
+		send(pulseWith(SECOND_READING))
 		await until(() => frames.length === 4)
 		const confirmation = frames[3] as Frame
 		expect(Object.keys(confirmation)).to.eql(Object.keys(asFrame(CONFIRMATION)))
-		expect(confirmation["confirmedAt"]).to.be.within(5_900, 6_100)
-		// A call that is read a moment before the others may be named too.
-		expect(new Map(confirmation["older"] as [number, number][]).get(2)).to.be.lessThan(5_900)
+		expect(confirmation["confirmedAt"]).to.be.closeTo(SECOND_READING, MARGIN_MS)
+		// The clock is read once per call, so `older` may also name calls read before the last one.
+		const older = new Map(confirmation["older"] as [number, number][])
+		expect(older.get(2)).to.be.closeTo(SECOND_READING - CONFIRMATION_AGE_MS, MARGIN_MS)
 
 		send(ANSWER)
 		expect(await first.reply).to.eql({type: "answer", value: "done"})
