--- a/packages/jobs/test/frozen-samples.test.ts
+++ b/packages/jobs/test/frozen-samples.test.ts
@@ -79,7 +79,7 @@
 			receivedHeartbeats.push(beat)
 			view.applyHeartbeat(beat)
 		},
-		onRoomNews: news => view.applyRoomUpdate(news),
+		onRoomUpdate: update => view.applyRoomUpdate(update),
 		needsOthers: () => false,
 		linkMbps: 1_000,
 	})
