--- a/packages/standins/src/demo/main.ts
+++ b/packages/standins/src/demo/main.ts
@@ -1,6 +1,6 @@
 /**
- * The demo: a fleet of separate processes on loopback that serves both kinds of work, and a table
- * of response time against the ideal and of messages sent against needed.
+ * The demo: runs requests and jobs on a fleet of processes on loopback, and prints response times beside the ideal and
+ * the number of attempts sent beside that needed.
  */
 import {randomUUID} from "node:crypto"
 import {request} from "undici"
--- a/packages/standins/src/fleet/client.ts
+++ b/packages/standins/src/fleet/client.ts
@@ -1,5 +1,5 @@
 /**
- * A caller: submits over HTTP and reads whole answers.
+ * An HTTP caller of entry instances, for tests, the demo, soaks and benchmarks.
  */
 import {Agent, request, type Dispatcher} from "undici"
 
@@ -23,7 +23,7 @@
 	readonly caller?: string
 	readonly deadlineMs?: number
 	readonly dispatcher?: Dispatcher
-	/** How long the caller waits before it counts the answer as lost, in milliseconds. */
+	/** The timeout of the call in milliseconds. */
 	readonly patienceMs?: number
 	readonly query?: string
 }
@@ -31,7 +31,7 @@
 const DEFAULT_PATIENCE_MS = 30_000
 const sharedAgent = new Agent({connections: 256, pipelining: 1})
 
-/** Sends one call; an exchange that breaks rejects. */
+/** Sends one call; rejects on a timeout or a broken connection. */
 export async function call(
 	method: Dispatcher.HttpMethod,
 	url: string,
--- a/packages/standins/src/fleet/fleet-links.ts
+++ b/packages/standins/src/fleet/fleet-links.ts
@@ -1,5 +1,5 @@
 /**
- * The links of a fleet whose failure domains can be cut: one from each failure domain to the
+ * The links of a fleet whose failure domains can be cut off: one from each failure domain to the
  * platform, and one from each failure domain to each entry instance of the others.
  */
 import {openLink, type Link} from "./link.js"
@@ -17,10 +17,10 @@
 	platformUrl(failureDomain: string): string
 	/** Opens the links to an entry instance; returns its address for each other failure domain. */
 	openTo(instance: string, failureDomain: string): Promise<Record<string, string>>
-	/** Tells where an entry instance listens for its peers now. */
+	/** Sets the port where an entry instance listens for its peers. */
 	setPeerPort(instance: string, port: number): void
 	cut(failureDomain: string, what: readonly CutKind[]): void
-	/** Open connections to the platform go silent for good; new ones work. */
+	/** Drops all further data of open connections to the platform; new connections work. */
 	hushPlatform(failureDomain: string): void
 	mend(failureDomain: string): void
 	close(): void
--- a/packages/standins/src/fleet/fleet.ts
+++ b/packages/standins/src/fleet/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of separate processes on loopback: the platform's stand-in, a metrics sink, executors,
- * workers, and entry instances. Used by the demo, the tests of failures, and the measurements.
+ * A fleet of separate processes on loopback: the platform stand-in, a metrics sink, executors, workers and entry
+ * instances. Used by the demo, failure tests, soaks and benchmarks.
  */
 import {mkdtempSync, rmSync, writeFileSync} from "node:fs"
 import {tmpdir} from "node:os"
@@ -16,7 +16,7 @@
 export interface FleetEntry {
 	readonly name: string
 	readonly failureDomain: string
-	/** Where callers reach it. */
+	/** The URL for callers. */
 	readonly url: string
 	process: FleetProcess
 }
@@ -27,14 +27,14 @@
 	readonly executors: readonly FleetProcess[]
 	readonly workers: readonly FleetProcess[]
 	setFaults(faults: Partial<Faults>): Promise<void>
-	/** The store's calls so far, by kind. */
+	/** The number of store calls by kind. */
 	storeCalls(): Promise<Readonly<Record<string, number>>>
 	starts(): readonly Start[]
 	/** Starts an entry instance again under its name and address. */
 	restartEntry(name: string): Promise<FleetEntry>
-	/** Cuts what a failure domain sends to the platform or to peers, or gets from peers. */
+	/** Cuts links of a failure domain; needs `hasLinks`, as `hushPlatform` and `mend` do. */
 	cut(failureDomain: string, what: readonly CutKind[]): void
-	/** Open connections of a failure domain to the platform go silent for good; new ones work. */
+	/** Drops all further data of a failure domain's open connections to the platform; new connections work. */
 	hushPlatform(failureDomain: string): void
 	mend(failureDomain: string): void
 	waitReady(): Promise<void>
@@ -45,12 +45,10 @@
 const ENTRY_BIN = scriptOf("../../../entry/dist/bin.js")
 const SHARDS = 64
 
-/** What the parts of a starting fleet share. */
 interface Assembly {
 	readonly shape: FleetShape
-	/** Holds the settings of entry instances and the records of starts. */
+	/** The directory for settings of entry instances and recorded starts. */
 	readonly folder: string
-	/** The platform's port, once it listens. */
 	readonly platformPort: number
 	readonly statsdPort: number
 	readonly links: FleetLinks | undefined
@@ -59,7 +57,6 @@
 
 const urlOf = (port: number) => `http://127.0.0.1:${port}`
 
-/** Starts all targets of one kind, numbered within their failure domain. */
 function startTargets(
 	{shape, folder, platformPort, start}: Assembly,
 	kind: "executor" | "worker",
@@ -121,7 +118,7 @@
 	readonly state: string
 }
 
-/** Says whether one entry instance is ready, sees its peers and targets; returns its shards. */
+/** Returns an entry instance's number of shards, or undefined until it is ready and sees its peers and targets. */
 async function shardsIfReady(entry: FleetEntry, peers: number, targets: number) {
 	const {instances} = await getJson<{instances: readonly InstanceLine[]}>(
 		`${entry.url}/v1/instances`,
@@ -201,7 +198,7 @@
 }
 
 /**
- * Starts a fleet and puts its configuration in force.
+ * Starts a fleet, applies its configuration and waits until it is ready.
  *
  * @example const fleet = await startFleet({entriesPerDomain: 1})
  */
--- a/packages/standins/src/fleet/json-http.ts
+++ b/packages/standins/src/fleet/json-http.ts
@@ -1,5 +1,5 @@
 /**
- * Calls with JSON bodies, and waiting for a condition.
+ * HTTP calls with JSON bodies, and polling for a condition.
  */
 import {request} from "undici"
 
@@ -20,7 +20,7 @@
 const WAIT_LIMIT_MS = 20_000
 const POLL_MS = 50
 
-/** Waits until a check holds, or fails with what was waited for. */
+/** Polls until a condition holds; rejects after `limitMs`. */
 export async function waitFor(
 	what: string,
 	isTrue: () => Promise<boolean> | boolean,
@@ -31,5 +31,5 @@
 		if (await isTrue()) return
 		await new Promise(resolve => setTimeout(resolve, POLL_MS))
 	}
-	throw new Error(`waited ${limitMs} ms in vain for ${what}`)
+	throw new Error(`timed out after ${limitMs} ms waiting for ${what}`)
 }
--- a/packages/standins/src/fleet/link.ts
+++ b/packages/standins/src/fleet/link.ts
@@ -1,26 +1,27 @@
 /**
- * A TCP link that can fail: while cut, open connections go silent and new ones get no answer, as behind a
- * lost switch; while cut one way, what is sent arrives and no answer comes back; it can be slow, and its
- * connections can be reset, or go silent for good while new ones work.
+ * A TCP proxy on loopback with injectable faults: cut both ways or for answers only, delayed, reset, or with open
+ * connections silent while new ones work. Used by fleets, soaks and tests.
  */
 import {connect, createServer, type Socket} from "node:net"
 
 export interface Link {
 	readonly port: number
+	/** Open connections go silent and new ones get no answer, as behind a failed switch. */
 	cut(): void
-	/** Loses answers: only what goes to the target still passes. */
+	/** Drops data from the target; data to the target still passes. */
 	cutAnswers(): void
-	/** Answers take so much longer, in milliseconds. */
+	/** Delays data from the target, in milliseconds. */
 	delay(ms: number): void
 	/** Resets all open connections. */
 	reset(): void
-	/** Open connections say nothing more, to either side, and do not end; new ones work. */
+	/** Drops all further data of open connections without closing them; new connections work. */
 	hush(): void
+	/** Ends all faults and closes open connections. */
 	mend(): void
 	close(): void
 }
 
-/** Opens a link from a free port to a port that is looked up at each connection. */
+/** Listens on a free port and forwards to `targetPort`, which is evaluated for each connection. */
 export function openLink(targetPort: () => number): Promise<Link> {
 	let isCut = false
 	let losesAnswers = false
@@ -77,7 +78,7 @@
 					for (const socket of sockets) {
 						hushed.add(socket)
 						socket.unpipe()
-						// What is still sent is read and lost, as by a lost switch.
+						// Reads and drops the data, so that the sender isn't blocked.
 						socket.resume()
 					}
 				},
@@ -85,7 +86,7 @@
 					isCut = false
 					losesAnswers = false
 					delayMs = 0
-					// What was silent stays broken: both ends must connect anew.
+					// Data was lost, so both ends must reconnect.
 					for (const socket of sockets) socket.destroy()
 				},
 				close() {
--- a/packages/standins/src/fleet/pair-link.ts
+++ b/packages/standins/src/fleet/pair-link.ts
@@ -1,6 +1,6 @@
 /**
- * A link from one machine to an address of another, TCP and UDP on the same port number, over the ways there and
- * back. It decides nothing: what passes, and when, is a matter of the ways.
+ * A TCP and UDP proxy, both on one port number, from one machine to an address of another. Two one-way paths decide
+ * what passes and when. Used by the simulated network and its tests.
  */
 import {createSocket, type Socket as Datagrams} from "node:dgram"
 import {connect, createServer, type Server, type Socket} from "node:net"
@@ -15,7 +15,7 @@
 	readonly port: number
 	/** Resets all open connections. */
 	reset(): void
-	/** Resets them for the side that opened them; the other hears of it over the way there, as it is. */
+	/** Resets only the end that opened them; the reset reaches the other end over the path there, if at all. */
 	resetNear(): void
 	close(): void
 }
@@ -25,7 +25,7 @@
 	readonly host: string
 	readonly there: Path
 	readonly back: Path
-	/** Looked up for each connection and datagram; none while nobody listens. */
+	/** Evaluated for each connection and datagram; undefined while nothing listens. */
 	readonly target: () => Target | undefined
 }
 
@@ -34,7 +34,7 @@
 
 type Track = (socket: Socket) => void
 
-/** Opens a link at a free port. */
+/** Opens a link on a port that is free for TCP and UDP; rejects when none is found. */
 export async function openPairLink(options: PairLinkOptions): Promise<PairLink> {
 	const sockets = new Set<Socket>()
 	const nears = new Set<Socket>()
@@ -72,7 +72,7 @@
 	}
 }
 
-/** Carries one connection: its set-up, what it sends and its ends are passed in order, each way. */
+/** Forwards one connection: connect, data and close pass each path in order. */
 function carry(near: Socket, {there, back, target}: PairLinkOptions, track: Track) {
 	let far: Socket | undefined
 	const breakOff = () => {
@@ -100,7 +100,6 @@
 	follow(near, outbound, () => far)
 	outbound.pass(() => {
 		const at = target()
-		// Who has closed before it was connected has sent nothing.
 		if (near.destroyed) return
 		if (!at) return void near.resetAndDestroy()
 		far = connect({...at, allowHalfOpen: true})
--- a/packages/standins/src/fleet/path.ts
+++ b/packages/standins/src/fleet/path.ts
@@ -1,21 +1,20 @@
 /**
- * The way from one machine to another, in one direction: what is sent on it passes, late, or not at all.
+ * A one-way network path between two machines that can be cut and delayed. Used by pair links.
  *
- * As on a real network a cut loses datagrams and holds what connections have sent, their ends included: senders
- * send it again until it gets through, also after they have closed, so it arrives once the way is mended.
+ * A cut drops datagrams and holds the data and closes of connections, since TCP retransmits them until the path is
+ * mended.
  */
 
-/** What a cut stops. */
 export type CutScope = "all" | "streams" | "datagrams"
 
-/** What becomes of what connections had sent into a cut. */
+/** What happens to held data of connections when a cut ends. */
 export type Mending =
-	/** It arrives, each connection's after its own wait: senders try again at growing intervals. */
+	/** Delivered after a delay for each connection, as by TCP's retransmission backoff. */
 	| {readonly type: "deliver"; readonly lagMs: () => number}
-	/** It is lost, and its connections with it. */
+	/** Dropped, and the connections are broken. */
 	| {readonly type: "break"}
 
-/** One connection's share of a way; what it passes arrives in order. */
+/** One connection on a path; delivers in order. */
 export interface Lane {
 	pass(deliver: () => void): void
 	close(): void
@@ -23,14 +22,13 @@
 
 export interface Path {
 	cut(scope: CutScope): void
-	/** Everything takes so much longer, in milliseconds. */
+	/** Delays everything, in milliseconds. */
 	delay(ms: number): void
 	mend(mending: Mending): void
-	/** What the open connections send is lost for good, their ends included; those that follow work. */
+	/** Drops all further data and closes of open connections; new connections work. */
 	hush(): void
-	/** Opens a lane; `onBreak` says that what it holds is lost. */
+	/** Adds a connection; `onBreak` is called when its held data is dropped. */
 	openLane(onBreak: () => void): Lane
-	/** Passes a datagram, or loses it. */
 	passDatagram(deliver: () => void): void
 }
 
@@ -46,7 +44,7 @@
 	readonly deliver: () => void
 }
 
-/** Creates a way that lets everything pass. */
+/** Creates a path without faults. */
 export function createPath(): Path {
 	const lanes = new Set<HeldLane>()
 	let delayMs = 0
--- a/packages/standins/src/fleet/process.ts
+++ b/packages/standins/src/fleet/process.ts
@@ -1,6 +1,5 @@
 /**
- * One child process of a stand-in fleet: started with its settings, known by its id, and ended by
- * that id alone.
+ * Child processes of a stand-in fleet. All are killed when this process exits.
  */
 import {spawn, type ChildProcess} from "node:child_process"
 import {createInterface} from "node:readline"
@@ -8,12 +7,12 @@
 export interface FleetProcess {
 	readonly name: string
 	readonly port: number
-	/** What the process announced when it was ready. */
+	/** The JSON object of the process's first output line, with its ports. */
 	readonly announced: Readonly<Record<string, number>>
-	/** The last lines of its log. */
+	/** The last lines of standard error. */
 	readonly logTail: () => readonly string[]
 	signal(signal: NodeJS.Signals): void
-	/** Resolves with the exit code once the process is gone. */
+	/** Resolves with the exit code, or null after a signal. */
 	readonly exited: Promise<number | null>
 	isRunning(): boolean
 	readonly pid: number
@@ -23,7 +22,6 @@
 const EXIT_BY_SIGNAL = 143
 const MAX_LOG_LINES = 400
 
-/** Children that still run; they end with this process, however it ends. */
 const children = new Set<ChildProcess>()
 
 process.on("exit", () => {
@@ -42,7 +40,7 @@
 	return () => lines
 }
 
-/** Starts a process and waits for the line that announces its port. */
+/** Starts a process and waits for the line that announces its port; rejects after 20 s or when the process exits. */
 export function startProcess(
 	name: string,
 	script: string,
@@ -60,11 +58,11 @@
 	return new Promise((resolve, reject) => {
 		const timer = setTimeout(() => {
 			child.kill("SIGKILL")
-			reject(new Error(`${name} did not start: ${logTail().join("\n")}`))
+			reject(new Error(`${name} did not start in time: ${logTail().join("\n")}`))
 		}, START_LIMIT_MS)
 		void exited.then(code => {
 			clearTimeout(timer)
-			reject(new Error(`${name} ended with ${code}: ${logTail().join("\n")}`))
+			reject(new Error(`${name} exited with code ${code}: ${logTail().join("\n")}`))
 		})
 		createInterface({input: child.stdout!}).once("line", line => {
 			clearTimeout(timer)
@@ -83,7 +81,7 @@
 	})
 }
 
-/** Ends processes at once and waits for them. */
+/** Kills processes, stopped ones too, and waits until they have exited. */
 export async function killAll(processes: Iterable<FleetProcess>): Promise<void> {
 	const all = [...processes]
 	for (const item of all) item.signal("SIGCONT")
--- a/packages/standins/src/fleet/shape.ts
+++ b/packages/standins/src/fleet/shape.ts
@@ -1,5 +1,5 @@
 /**
- * The shape of a stand-in fleet: how many of what, and with which settings.
+ * The number and settings of the processes of a stand-in fleet.
  */
 import type {PlatformSettings} from "../platform/platform.js"
 
@@ -15,12 +15,12 @@
 	readonly config: Readonly<Record<string, unknown>>
 	readonly platform: Partial<PlatformSettings>
 	readonly timings: Readonly<Record<string, number>>
-	/** Whether starts are recorded for the judge. */
+	/** Whether targets record their starts, for `Fleet.starts`. */
 	readonly isJudged: boolean
-	/** Whether each failure domain reaches the platform and its peers over links that can be cut. */
+	/** Whether failure domains reach the platform and their peers over links that can be cut. */
 	readonly hasLinks: boolean
 	readonly logLevel: string
-	/** The entry command to run, for comparisons with an earlier build. */
+	/** The path of another build of the entry program. */
 	readonly entryBin?: string
 }
 
@@ -41,7 +41,7 @@
 	logLevel: "info",
 })
 
-/** The configuration that the stand-in fleets use unless told otherwise. */
+/** Returns the default configuration, overridden by `shape.config`. */
 export function configOf(shape: FleetShape) {
 	return {
 		endpoints: {[shape.endpoint]: {}},
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The stand-ins, for tests, the demo and experiments; never shipped.
+ * Stand-ins of the external systems, for tests, the demo, soaks and benchmarks; not part of a release.
  */
 export {createPlatform, PLATFORM_DEFAULTS} from "./platform/platform.js"
 export type {Faults, ListedInstance, PlatformSettings} from "./platform/platform.js"
--- a/packages/standins/src/leased/edges.ts
+++ b/packages/standins/src/leased/edges.ts
@@ -1,5 +1,6 @@
 /**
- * Real instances of the program on loopback, against the stand-in of the users' platform.
+ * Starts real instances of the program on loopback against the platform stand-in, and sends them jobs.
+ * Used by tests, soaks and benchmarks.
  */
 import {spawn, type ChildProcess} from "node:child_process"
 import {mkdtempSync, rmSync, writeFileSync} from "node:fs"
@@ -11,16 +12,16 @@
 import {HOST, PREFIX, type LeasedPlatform} from "./platform.js"
 import type {StandInSpec} from "./wire-executor.js"
 
-/** Another build of the program may be named, to see what it does in the same test. */
+/** `COTTONWOOD_PROGRAM` runs another build of the program. */
 const PROGRAM =
 	process.env["COTTONWOOD_PROGRAM"] ??
 	fileURLToPath(new URL("../../../../platform/dist/bin.js", import.meta.url))
-/** Jobs are refused that cannot be in time; with these a busy machine of ours is no reason to. */
+/** Generous, so that a busy test machine doesn't cause refusals for jobs that cannot be in time. */
 const PATIENT_ESTIMATE_MS = 2_000
 const PATIENT_DEADLINE_MS = 10_000
 const READY_POLL_MS = 50
 const READY_TRIES = 200
-/** Below the range that connections are opened from, which begins at 32,768 on Linux. */
+/** Below the ephemeral ports, which begin at 32,768 on Linux. */
 const FIRST_PORT = 10_000
 const PORTS_PER_BLOCK = 100
 const PORT_BLOCKS = 220
@@ -30,21 +31,21 @@
 	readonly failureDomain: string
 	readonly callers: string
 	readonly readiness: string
-	/** Where peers reach it. */
+	/** The address for peers, as host:port. */
 	readonly peers: string
 	readonly child: ChildProcess
-	/** The structured lines that it has written. */
+	/** Log lines written so far, parsed. */
 	readonly lines: readonly Readonly<Record<string, unknown>>[]
 	readonly exited: Promise<number | null>
 }
 
 export interface EdgeFleet {
 	readonly edges: readonly Edge[]
-	/** Starts one more instance. */
+	/** Starts another instance and waits until it is ready. */
 	start(name: string, failureDomain: string): Promise<Edge>
-	/** Starts an instance again with the name and addresses that it had, but for peers. */
+	/** Starts an instance again under its name and addresses, on a new peer port, and waits until it is ready. */
 	restart(edge: Edge): Promise<Edge>
-	/** The same, and does not wait until it is ready. */
+	/** Like `restart`, without waiting for readiness. */
 	relaunch(edge: Edge): Promise<Edge>
 	close(): Promise<void>
 }
@@ -57,7 +58,7 @@
 
 let nextPort = FIRST_PORT + (process.pid % PORT_BLOCKS) * PORTS_PER_BLOCK
 
-/** A free port of this process's own block, below those that outgoing connections use. */
+/** Returns a free port of this process's own block. */
 async function freePort(ip: string): Promise<number> {
 	for (;;) {
 		const port = nextPort++
@@ -113,10 +114,10 @@
 		if (await isReady(edge)) return
 		await new Promise(resolve => setTimeout(resolve, READY_POLL_MS))
 	}
-	throw new Error(`${edge.name} did not become ready`)
+	throw new Error(`${edge.name} is not ready in time`)
 }
 
-/** Waits until every executor obeys the fence of a placer. */
+/** Waits until as many `fence_taken` events as executors are logged; rejects after 10 s. */
 export async function untilPlaced(fleet: EdgeFleet, executors: number) {
 	for (let tries = 0; tries < READY_TRIES; tries++) {
 		const lines = fleet.edges.flatMap(edge => edge.lines)
@@ -124,7 +125,7 @@
 		if (fenced.length >= executors) return
 		await new Promise(resolve => setTimeout(resolve, READY_POLL_MS))
 	}
-	throw new Error("not every executor is placed")
+	throw new Error("not every executor has taken a fence in time")
 }
 
 export async function isReady(edge: Edge): Promise<boolean> {
@@ -137,7 +138,7 @@
 	}
 }
 
-/** Hands a job of like tasks in; rejects when the connection breaks. */
+/** Submits a job of identical tasks; rejects when the connection breaks. */
 export async function handIn(
 	edge: Edge,
 	id: string,
@@ -174,7 +175,7 @@
 	}
 }
 
-/** Asks for a kept job's state, or cancels it. */
+/** Reads a kept job's state, or cancels the job with DELETE. */
 export async function askJob(
 	edge: Edge,
 	id: string,
@@ -191,23 +192,23 @@
 }
 
 export interface EdgesOptions {
-	/** Where an instance reaches the store, when not at the platform's own address. */
+	/** The store address for an instance; the platform's own by default. */
 	readonly storeAddressOf?: (name: string) => string
-	/** Arguments of the runtime, for a profile or a module that is loaded before the program. */
+	/** Arguments of Node.js, for a profile or a preloaded module. */
 	readonly nodeArgs?: readonly string[]
-	/** An address of its own for an instance. */
+	/** The IP address of an instance; 127.0.0.1 by default. */
 	readonly ipOf?: (name: string) => string
-	/** The cores that it is told it may use; the largest of a failure domain places it. */
+	/** An instance's `cpu-share` in cores; the largest of a failure domain is its placer. */
 	readonly cpuShareOf?: (name: string) => number
-	/** What its environment has besides ours. */
+	/** Additional environment variables of an instance. */
 	readonly envOf?: (name: string) => Readonly<Record<string, string>>
-	/** What of placing is switched on; by default nothing. */
+	/** The settings for `COTTONWOOD_PLACING`; empty by default. */
 	readonly placing?: Readonly<Record<string, unknown>>
-	/** Another build of the program. */
+	/** The path of another build of the program. */
 	readonly program?: string
-	/** How long the first instances may take until they are ready. */
+	/** How long the first instances and those of `start` may take until they are ready, in milliseconds. */
 	readonly readyMs?: number
-	/** Hears of each life that begins. */
+	/** Called for each process that is started. */
 	readonly onLaunch?: (edge: Edge) => void
 }
 
--- a/packages/standins/src/leased/network.ts
+++ b/packages/standins/src/leased/network.ts
@@ -1,31 +1,30 @@
 /**
- * The network between instances, and from them to executors, on loopback: one way for each ordered pair, and a link
- * over two of them for each address that an instance may connect to.
+ * A simulated network on loopback between instances, and from instances to executors: a one-way path for each ordered
+ * pair, and a link over two paths for each address that an instance connects to. Used by soaks and tests of network faults.
  */
 import {openPairLink, type PairLink, type Target} from "../fleet/pair-link.js"
 import {createPath, type Path} from "../fleet/path.js"
 
 export interface NetworkPlan {
-	/** The address at which links listen: one for each test, since instances that outlive theirs still send. */
+	/** The address at which links listen; one for each test, so that leftover instances of another test reach none. */
 	readonly host: string
-	/** Each instance's name and its own address. */
 	readonly instances: readonly {readonly name: string; readonly ip: string}[]
-	/** Executors: the place that they share on the network, and where they are reached. */
+	/** Executors of one place share its paths. */
 	readonly executors: readonly {readonly place: string; readonly address: string}[]
-	/** Where an instance's newest life is reached by its peers. */
+	/** The peer address of an instance's current process. */
 	readonly peerOf: (name: string) => string | undefined
 }
 
 export interface Network {
-	/** The way from one place to another. */
+	/** The path from one place to another. */
 	path(from: string, to: string): Path
-	/** Resets all connections that were opened from one place to another. */
+	/** Resets both ends of all connections that were opened from one place to another. */
 	reset(from: string, to: string): void
-	/** The same for the side that opened them; whether the other hears of it is a matter of the way. */
+	/** Resets only the end that opened them; the reset reaches the other end over the path, if at all. */
 	resetNear(from: string, to: string): void
-	/** All connections that are open go silent for good; new ones work. */
+	/** Drops all further data of the open connections without closing them; new connections work. */
 	hush(): void
-	/** The addresses that an instance must not reach directly, with those of its links. */
+	/** The addresses of peers and executors, mapped to the instance's links to them. */
 	routesOf(name: string): Readonly<Record<string, string>>
 	close(): void
 }
--- a/packages/standins/src/leased/platform.ts
+++ b/packages/standins/src/leased/platform.ts
@@ -1,6 +1,6 @@
 /**
- * The users' platform on loopback: the store, executors in failure domains, the operator, and a judge
- * that watches every start for what must never be.
+ * A stand-in of the users' platform on loopback: the store, executors in failure domains, the operator's writes, and a
+ * checker that records violations such as two runs of one task at once. Used by tests, soaks and benchmarks.
  */
 import {createServer, type IncomingMessage, type Server} from "node:http"
 import type {AddressInfo} from "node:net"
@@ -10,22 +10,22 @@
 export interface LeasedPlatformOptions {
 	readonly failureDomains: readonly string[]
 	readonly executorsPerDomain: number
-	/** Thousandths of a core of each executor. */
+	/** Capacity of each executor in thousandths of a core. */
 	readonly capacityCpu?: number
-	/** How many executors a failure domain has, when not as many as the others. */
+	/** The number of executors of a failure domain; overrides `executorsPerDomain`. */
 	readonly executorsOf?: (failureDomain: string) => number
-	/** What an executor's clock counts in one millisecond, by failure domain and number. */
+	/** How many milliseconds an executor's clock advances in one, by the executor's name. */
 	readonly clockRateOf?: (name: string) => number
-	/** Takes a line for each start, end and order at executors, and each write of the fleet to the store. */
+	/** Called for each start, end and order at executors, and for each write under `fleet/` to the store. */
 	readonly onRecord?: (line: Readonly<Record<string, unknown>>) => void
-	/** Puts something between the instances and an address; returns the address that they are told. */
+	/** Puts a proxy before an executor's address; returns the address to announce. */
 	readonly through?: (address: string, name: string) => Promise<string>
 }
 
 export interface HostedExecutor {
 	executor: WireExecutor
 	readonly failureDomain: string
-	/** Its failure domain and number there; stays when its process is replaced. */
+	/** Failure domain and number; the same after a restart. */
 	readonly name: string
 	readonly address: string
 	readonly server: Server
@@ -35,16 +35,16 @@
 	readonly store: WireStore
 	readonly storeAddress: string
 	readonly executors: readonly HostedExecutor[]
-	/** Rules that were broken so far. */
+	/** Descriptions of the violations so far. */
 	readonly violations: readonly string[]
-	/** Runs begun so far, by task. */
+	/** The number of runs of a task that started. */
 	startsOf(task: string): number
-	/** Runs that ended as done so far, by task. */
+	/** The number of runs of a task that ended as `done`. */
 	donesOf(task: string): number
 	putConfig(version: number, changes?: object): void
-	/** The executor's process dies; another life begins at the same address. */
+	/** Crashes an executor and starts a new one at the same address at once. */
 	restart(hosted: HostedExecutor): void
-	/** The executor's room shrinks or grows while it runs; it says so at once. */
+	/** Changes an executor's capacity and announces it at once. */
 	resize(hosted: HostedExecutor, cpu: number): void
 	close(): Promise<void>
 }
@@ -54,14 +54,14 @@
 export const QUEUE = "orders"
 const SERVICE = "svc"
 const BEAT_MS = 500
-/** An executor that a task has crashed is back after this; its entry lapses before. */
+/** How long an executor that a task crashed stays down; longer than its entry lives. */
 const CRASHED_MS = 2_000
 const LISTEN_RETRY_MS = 100
 const LAPSES_AFTER_MS = 3 * BEAT_MS
-/** Where instances note themselves and their claims. */
+/** Keys of instances and their claims. */
 const FLEET_PREFIX = "fleet/"
 
-/** The jobs' own route, and one more for each prefix. */
+/** Returns the route of the test jobs, and one more for each prefix. */
 export function routesFor(prefixes: readonly string[]): readonly object[] {
 	const route = {
 		host: HOST,
@@ -89,7 +89,7 @@
 	return `127.0.0.1:${(server.address() as AddressInfo).port}`
 }
 
-/** An outgoing connection may have taken the port meanwhile, for a while. */
+/** Listens on a port again; retries while an outgoing connection uses it. */
 async function listenAgain(server: Server, port: number) {
 	for (;;) {
 		const isListening = await new Promise<boolean>(resolve => {
@@ -101,7 +101,7 @@
 	}
 }
 
-/** Watches all executors for two runs of one task at once; `settle` ends what is over by their clocks. */
+/** Detects two runs of one task at once; `settle` first ends runs that are over by the executors' clocks. */
 function createJudge(
 	settle: () => void,
 	onCrash: (executor: string) => void,
@@ -176,12 +176,12 @@
 		})
 	}
 
-	/** Nothing listens at its address until it is back, with a new life and another entry. */
+	/** Crashes an executor; after a downtime a new one with another id listens on the same port. */
 	function crash(id: string) {
 		const hosted = executors.find(({executor}) => executor.id === id)
 		if (!hosted || crashed.has(hosted.executor)) return
 		const {executor, server} = hosted
-		// Not the address that instances are told, where a link may listen.
+		// `address` may be that of a proxy.
 		const {port} = server.address() as AddressInfo
 		crashed.add(executor)
 		executor.crash()
--- a/packages/standins/src/leased/reroute.ts
+++ b/packages/standins/src/leased/reroute.ts
@@ -1,6 +1,6 @@
 /**
- * Loaded into an instance before the program: connections and datagrams to some addresses go to another instead, where
- * the test has put a link. It decides nothing else, and ends the instance when the test is gone.
+ * Preloaded into an instance: redirects connections and datagrams for some addresses to the links of a test's network,
+ * and kills the instance when its parent process has exited.
  *
  * `COTTONWOOD_ROUTES` maps addresses (host and port, or a host with all its ports) to addresses.
  */
@@ -31,7 +31,7 @@
 const connect = Socket.prototype.connect as AnyFunction
 Socket.prototype.connect = function (this: Socket, ...args: unknown[]) {
 	const [first] = args
-	// The runtime itself calls this with a list that carries a mark of its own, so the list must stay the same.
+	// Node.js marks its argument array with a symbol, so the array is changed in place.
 	if (Array.isArray(first)) first[0] = reroute(first[0] as Destination)
 	else if (typeof first === "object" && first !== null) args[0] = reroute(first)
 	return connect.apply(this, args)
--- a/packages/standins/src/leased/suspendable.ts
+++ b/packages/standins/src/leased/suspendable.ts
@@ -1,6 +1,6 @@
 /**
- * Loaded before the program: on SIGUSR2 the process is suspended for a while, and its steady clock does not count that
- * time, as on a machine that sleeps. The time of day and the clock since boot go on.
+ * Preloaded into an instance: SIGUSR2 blocks the process for a while and its monotonic clock doesn't advance meanwhile,
+ * as on a suspended machine. The wall clock and the clock since boot go on.
  */
 const SUSPENDED_MS = Number(process.env["COTTONWOOD_SUSPENDED_MS"] ?? "600")
 
--- a/packages/standins/src/leased/wire-executor.ts
+++ b/packages/standins/src/leased/wire-executor.ts
@@ -1,27 +1,24 @@
 /**
- * A stand-in of the users' executors: fences, run numbers, leases on its own steady clock, lists of
- * what runs and what ended, and the ways in which executors fail.
- *
- * It judges the product while it runs: see `violations`.
+ * A stand-in of the users' executors: fences, run numbers, leases on its own monotonic clock, lists of running and
+ * finished tasks, and injectable faults. Reports each start, end and exceeded capacity to the platform stand-in.
  */
 import type {IncomingMessage, ServerResponse} from "node:http"
 
 export interface ExecutorFaults {
-	/** Nothing is answered, and nothing done. */
+	/** Ignores all calls and answers none. */
 	mute?: boolean
-	/** Orders are done and not answered. */
+	/** Carries out orders without answering. */
 	loseAnswers?: boolean
-	/** The next so many starts are not answered, and done so much later. */
+	/** Carries out the next `count` starts late, without answering. */
 	lateStarts?: {count: number; delayMs: number}
-	/** Says of each order whether it is left unanswered and carried out so many milliseconds later. */
+	/** The delay in milliseconds after which an order is carried out without an answer; undefined for none. */
 	lateOrders?: (fence: number) => number | undefined
-	/** Tasks end as failed. */
 	failAll?: boolean
-	/** Tasks make no progress. */
+	/** New tasks make no progress and don't end by themselves. */
 	hang?: boolean
-	/** Starts are refused as by an unhealthy executor. */
+	/** Refuses starts with status 503. */
 	unhealthy?: boolean
-	/** Tasks take so many times as long. */
+	/** Factor on the run time of new tasks. */
 	slowness?: number
 }
 
@@ -31,39 +28,39 @@
 	readonly cpu: number
 	readonly startedAt: number
 	readonly workMs: number
-	/** How it ends by itself; a task without progress never does. */
+	/** The outcome when the work is done; undefined for a hanging task. */
 	readonly ends: string | undefined
 	readonly cancel: () => void
 }
 
-/** What one executor tells the judge of all. */
+/** Events of one executor, for the checker of all. */
 export interface ExecutorEvents {
 	onStart(executor: string, task: string, run: number, fence: number): void
 	onEnd(executor: string, task: string, run: number, how: string): void
 	onBroken(rule: string): void
-	/** A task has crashed the executor's process. */
+	/** A task has crashed the executor. */
 	onCrash(executor: string): void
-	/** An order was carried out, or refused by its status. */
+	/** An order was answered with `status`, refusals included. */
 	onOrder(executor: string, order: CarriedOut): void
 }
 
-/** An order as the executor took it. */
+/** An order and its result. */
 export interface CarriedOut {
 	readonly path: string
 	readonly fence: number
 	readonly status: number
 	readonly task: string | undefined
 	readonly run: number | undefined
-	/** How long the executor's lease goes on from here, by its own clock. */
+	/** Remaining lease in milliseconds on the executor's clock; negative once it ended. */
 	readonly leaseLeftMs: number
 }
 
-/** What the stand-in's specs say; the product hands them on unread. */
+/** The spec of a task, which the program passes through unread. */
 export interface StandInSpec {
 	readonly workMs: number
 	readonly cpu: number
 	readonly fails?: boolean
-	/** The executor that starts it dies of it. */
+	/** Crashes the executor soon after the start. */
 	readonly crashes?: boolean
 }
 
@@ -79,16 +76,15 @@
 
 const MAX_LEASE_MS = 1_000
 const STOP_MS = 5
-/** Between two looks at the lease. */
 const LEASE_LOOK_MS = 2
-/** Between the start of a task that crashes its executor and the crash; the start's answer is on its way. */
+/** Leaves time for the answer to the start. */
 const CRASHES_AFTER_MS = 20
-/** A room that has shrunk is told with the next beat, and counts 3 s after that. */
+/** A smaller capacity is announced with the next heartbeat, and enforced 3 s after that. */
 const SHRUNK_COUNTS_AFTER_MS = 3_500
 
 export class WireExecutor {
 	readonly faults: ExecutorFaults = {}
-	/** Starts that were carried out. */
+	/** The number of starts carried out. */
 	starts = 0
 	private readonly clockOffset = Math.floor(Math.random() * 1e6)
 	private readonly running = new Map<string, Running>()
@@ -99,7 +95,7 @@
 	private leaseUntil = 0
 	private isGone = false
 	private roomCpu: number
-	/** Rooms that it had before, which starts may still go by until then. */
+	/** Earlier capacities, which starts may still rely on until the given time. */
 	private earlierRooms: readonly {readonly cpu: number; readonly until: number}[] = []
 	private readonly leaseTimer = setInterval(() => this.settle(), LEASE_LOOK_MS)
 	private readonly waiting = new Set<() => void>()
@@ -108,7 +104,7 @@
 		readonly id: string,
 		capacityCpu: number,
 		private readonly events: ExecutorEvents,
-		/** What its clock counts in one millisecond. */
+		/** Milliseconds that the executor's clock advances in one. */
 		private readonly clockRate = 1,
 	) {
 		this.roomCpu = capacityCpu
@@ -118,14 +114,13 @@
 		return this.roomCpu
 	}
 
-	/** Its room shrinks or grows while it runs. */
 	resize(cpu: number) {
 		const until = performance.now() + SHRUNK_COUNTS_AFTER_MS
 		this.earlierRooms = [...this.earlierRooms, {cpu: this.roomCpu, until}]
 		this.roomCpu = cpu
 	}
 
-	/** The room that starts are judged by: the largest of those that still count. */
+	/** The capacity that starts are checked against: the largest of the current and recent ones. */
 	private judgedCpu(): number {
 		const now = performance.now()
 		this.earlierRooms = this.earlierRooms.filter(({until}) => until > now)
@@ -140,7 +135,7 @@
 		return this.running.size
 	}
 
-	/** Its process dies with all that runs there. */
+	/** Ends all runs as `crashed` and answers no further call. */
 	crash() {
 		this.isGone = true
 		clearInterval(this.leaseTimer)
@@ -263,7 +258,7 @@
 		this.waiting.clear()
 	}
 
-	/** Ends what is over by its own clock; timers may say so later, when the process that hosts it is busy. */
+	/** Ends runs that are over by the executor's clock; the runs' own timers may fire late in a busy process. */
 	settle() {
 		const now = this.clock()
 		for (const {task, run, startedAt, workMs, ends} of [...this.running.values()]) {
--- a/packages/standins/src/leased/wire-store.ts
+++ b/packages/standins/src/leased/wire-store.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of the users' key-value service: revisions, transactions, leases and waiting watches, and
- * the ways in which the service fails.
+ * A stand-in of the users' key-value service: revisions, transactions, leases, long-polling watches, and injectable
+ * faults. Part of the platform stand-in.
  */
 import type {IncomingMessage, ServerResponse} from "node:http"
 import {sleep} from "../utils/sleep.js"
@@ -24,13 +24,12 @@
 	expiresAt: number
 }
 
-/** How the service misbehaves at the moment. */
 export interface StoreFaults {
-	/** Every call gets no answer, or 503. */
+	/** `silent` leaves every call unanswered, `busy` answers 503. */
 	down?: "silent" | "busy"
-	/** Milliseconds that each answer takes longer. */
+	/** Delay of each answer in milliseconds. */
 	slowMs?: number
-	/** The next so many writes are done and not answered; their connections say nothing more. */
+	/** The number of next writes that take effect unanswered; no call on their connections is answered afterwards. */
 	loseAnswers?: number
 }
 
@@ -46,9 +45,9 @@
 
 export class WireStore {
 	readonly faults: StoreFaults = {}
-	/** Hears of each write; of a removal without a value. */
+	/** Called for each write, with undefined for a removal. */
 	onWrite: (key: string, value: unknown) => void = () => undefined
-	/** Calls by path, for tests that count them. */
+	/** The number of calls by path. */
 	readonly calls = new Map<string, number>()
 	private readonly items = new Map<string, Item>()
 	private readonly leases = new Map<number, Lease>()
@@ -57,11 +56,11 @@
 	private revision = 0
 	private leaseSerial = 0
 	private readonly waiting = new Set<() => void>()
-	/** Connections that lost an answer. */
+	/** Connections with a lost answer. */
 	private readonly mute = new WeakSet<object>()
 	private readonly sweeper = setInterval(() => this.sweep(), SWEEP_MS)
 
-	/** Writes as the operator or an executor would. */
+	/** Writes a key without lease, as the operator or an executor does. */
 	write(key: string, value: unknown) {
 		this.set(key, Buffer.from(JSON.stringify(value)).toString("base64"), 0)
 		this.wake()
@@ -77,7 +76,7 @@
 		return item && JSON.parse(Buffer.from(item.value, "base64").toString("utf8"))
 	}
 
-	/** Forgets what changed before now, as a compaction does. */
+	/** Drops the change history, as a compaction does; watches from before get 410. */
 	forgetHistory() {
 		this.changes = []
 		this.oldestKept = this.revision
@@ -165,7 +164,7 @@
 		const puts = body.puts ?? []
 		const removed = body.remove ?? []
 		if (conditions.length + puts.length + removed.length > MAX_ENTRIES)
-			return this.answer(res, 400, {error: "over 32 entries"})
+			return this.answer(res, 400, {error: "more than 32 entries"})
 		const isMet = conditions.every(({key, rev}) => (this.items.get(key)?.rev ?? 0) === rev)
 		if (!isMet) {
 			const items = conditions.map(({key}) => this.items.get(key)).filter(Boolean)
--- a/packages/standins/src/platform/kv.ts
+++ b/packages/standins/src/platform/kv.ts
@@ -1,5 +1,5 @@
 /**
- * The data of the key-value stand-in: revisions, compare-and-swap, leases, and waiting watches.
+ * The data of the key-value stand-in: revisions, compare-and-swap, leases and long-polling watches.
  */
 
 export interface Item {
@@ -53,7 +53,7 @@
 		return {items, revision: this.revision}
 	}
 
-	/** Writes when the key's revision is `expect`; 0 expects that the key is absent. */
+	/** Writes if the key's revision is `expect`, 0 for an absent key; undefined writes in any case. */
 	put(key: string, value: unknown, expect: number | undefined, lease?: string): PutResult {
 		const current = this.items.get(key)
 		if (expect !== undefined && (current?.revision ?? 0) !== expect) {
@@ -108,7 +108,7 @@
 		return {items, deleted: [...new Set(deleted)], revision: this.revision}
 	}
 
-	/** Waits until something under the prefix changes after `revision`, or until `waitMs` is over. */
+	/** Resolves with the changes under a prefix after `revision`, at the latest after `waitMs`. */
 	async watch(prefix: string, revision: number, waitMs: number): Promise<Change> {
 		const now = this.changesAfter(prefix, revision)
 		if (now.items.length > 0 || now.deleted.length > 0) return now
--- a/packages/standins/src/platform/main.ts
+++ b/packages/standins/src/platform/main.ts
@@ -1,4 +1,4 @@
-/** The process of the platform's stand-in. */
+/** The process of the platform stand-in, started by fleets. */
 import {announce, listen, readSettings} from "../utils/server.js"
 import {createPlatform, PLATFORM_DEFAULTS} from "./platform.js"
 import type {Hono} from "hono"
--- a/packages/standins/src/platform/platform.ts
+++ b/packages/standins/src/platform/platform.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's stand-in: the key-value service and the lagging instance list, over HTTP, with
- * faults that tests and experiments switch on through `PUT /faults`.
+ * The platform stand-in: the key-value service and the delayed instance list over HTTP, with faults that tests, soaks
+ * and experiments inject by `PUT /faults`.
  */
 import {Hono, type Context} from "hono"
 import type {HttpBindings} from "@hono/node-server"
@@ -10,11 +10,11 @@
 import {sleep} from "../utils/sleep.js"
 
 export interface Faults {
-	/** Requests hang until the outage ends or the client gives up; nothing takes effect. */
+	/** Calls hang until the outage ends, and only then take effect. */
 	readonly down: boolean
-	/** Added to each call, in milliseconds. */
+	/** Additional latency of each call in milliseconds. */
 	readonly delayMs: number
-	/** The share of writes that take effect and whose answer is then lost. */
+	/** The fraction of writes whose answer is lost after they took effect. */
 	readonly loseAnswers: number
 }
 
@@ -30,12 +30,12 @@
 export interface PlatformSettings {
 	readonly port: number
 	readonly seed: number
-	/** The time of a synced write, in milliseconds. */
+	/** The duration of a write in milliseconds. */
 	readonly writeMs: number
 	readonly readMs: number
-	/** How far the instance list lags, in milliseconds. */
+	/** The delay of the instance list in milliseconds. */
 	readonly listLagMs: number
-	/** After how long without a renewal an instance leaves the list, in milliseconds. */
+	/** How long an entry of the instance list lives without renewal, in milliseconds. */
 	readonly listTtlMs: number
 }
 
@@ -54,7 +54,6 @@
 
 type Env = {Bindings: HttpBindings}
 
-/** Creates the stand-in's HTTP application. */
 export function createPlatform(settings: PlatformSettings) {
 	const data = new KeyValueData()
 	const random = seededRandom(settings.seed)
@@ -79,7 +78,7 @@
 		if (waitMs > 0) await sleep(waitMs)
 	}
 
-	/** Answers a write, or loses the answer after the write took effect. */
+	/** Answers a write that took effect, or closes the connection instead. */
 	function answerWrite(c: Context<Env>, body: object, status: 200 | 409 | 410 = 200) {
 		if (random() < faults.loseAnswers) {
 			countCall("lost answers")
@@ -169,7 +168,7 @@
 	app.get("/calls", c => c.json(calls))
 }
 
-/** The list of instances: each renews its own line; readers see it with a lag. */
+/** Adds the instance list: instances renew their own entries, and readers see changes after `listLagMs`. */
 function addInstanceList(app: Hono<Env>, settings: PlatformSettings) {
 	const lines = new Map<string, {readonly line: ListedInstance; readonly renewedAt: number}>()
 	let shown: readonly ListedInstance[] = []
--- a/packages/standins/src/targets/executor.ts
+++ b/packages/standins/src/targets/executor.ts
@@ -1,8 +1,8 @@
 /**
- * An executor's stand-in: one endpoint's back end with 8 slots. It answers `busy` when they are
- * taken, says when it is leaving, and can be told to fail, hang or cut its answers short.
+ * The process of an executor stand-in: an endpoint's back end that refuses work when its slots are taken or it is
+ * leaving, and that `PUT /behavior` makes fail, slow down or break its answers.
  *
- * The payload steers a run: `{ms, fail, echo}`.
+ * The payload sets a run's duration and outcome: `{ms, fail}`.
  */
 import {Hono} from "hono"
 import type {HttpBindings} from "@hono/node-server"
@@ -24,10 +24,9 @@
 }
 
 interface Behavior {
-	/** The share of runs that fail. */
 	readonly failAll: boolean
 	readonly slowFactor: number
-	/** What is done to the answer. */
+	/** `crossed` names the previous attempt; `cut` closes the connection without an answer. */
 	readonly answer: "whole" | "truncated" | "crossed" | "cut"
 }
 
--- a/packages/standins/src/targets/judge.ts
+++ b/packages/standins/src/targets/judge.ts
@@ -1,6 +1,6 @@
 /**
- * The record of starts that the proofs judge by: one line per start, appended to a file, so that
- * it outlives a killed process.
+ * Logs of task starts, one line per start appended to a file, so that they outlive a killed process. Targets write them;
+ * tests and soaks check them for repeated starts.
  */
 import {appendFileSync, existsSync, readFileSync, readdirSync} from "node:fs"
 import {join} from "node:path"
@@ -15,14 +15,14 @@
 	recordStart(start: Start): void
 }
 
-/** Opens the record of one process; without a folder nothing is kept. */
+/** Opens the log of one process; an empty folder disables it. */
 export function openJudge(folder: string, name: string): Judge {
 	if (folder === "") return {recordStart: () => undefined}
 	const file = join(folder, `${name}.starts`)
 	return {recordStart: start => appendFileSync(file, `${JSON.stringify(start)}\n`)}
 }
 
-/** Reads all starts that any process recorded in the folder. */
+/** Reads the starts that all processes recorded in a folder; empty when the folder doesn't exist. */
 export function readStarts(folder: string): readonly Start[] {
 	if (!existsSync(folder)) return []
 	return readdirSync(folder)
--- a/packages/standins/src/targets/registration.ts
+++ b/packages/standins/src/targets/registration.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps a stand-in's line in the platform's instance list.
+ * Registers a target in the platform stand-in's instance list.
  */
 import {request} from "undici"
 import type {ListedInstance} from "../platform/platform.js"
@@ -11,7 +11,7 @@
 	stop(): Promise<void>
 }
 
-/** Registers a line and renews it until stopped. */
+/** Registers an instance and renews its entry until stopped; failed calls are ignored. */
 export function register(platform: string, line: ListedInstance): Registration {
 	let current = line
 	const url = `${platform}/instances/${encodeURIComponent(line.id)}`
--- a/packages/standins/src/targets/statsd.ts
+++ b/packages/standins/src/targets/statsd.ts
@@ -1,4 +1,4 @@
-/** A metrics sink: receives statsd datagrams, and answers with the sums it has seen. */
+/** The process of a metrics sink: receives statsd datagrams, and serves counters and gauges at `/metrics`. */
 import {createSocket} from "node:dgram"
 import {Hono} from "hono"
 import {announce, listen, readSettings} from "../utils/server.js"
--- a/packages/standins/src/targets/worker.ts
+++ b/packages/standins/src/targets/worker.ts
@@ -1,8 +1,8 @@
 /**
- * A worker's stand-in: runs batches of tasks under leases within its processors, memory and
- * accelerators, and streams one event per line as tasks end.
+ * The process of a worker stand-in: runs batches of tasks under leases within its CPU, memory and accelerators, and
+ * streams one event per line as tasks end.
  *
- * The payload steers a task: `{ms, fail, value}`.
+ * The payload sets a task's duration and outcome: `{ms, fail, value}`.
  */
 import {Hono} from "hono"
 import {stream} from "hono/streaming"
@@ -93,7 +93,7 @@
 	if (finished.size > MAX_REMEMBERED) finished.delete(finished.keys().next().value!)
 }
 
-/** Starts a task, or says why not; resolves with its last event. */
+/** Runs a task unless the worker is leaving or full; resolves with the task's only event. */
 function runTask(task: TaskMessage): Promise<TaskEvent> {
 	const {attempt} = task
 	if (isLeaving) {
--- a/packages/standins/src/utils/server.ts
+++ b/packages/standins/src/utils/server.ts
@@ -1,5 +1,6 @@
 /**
- * Starting an HTTP server on loopback, and reading a process's arguments as settings.
+ * What the stand-ins' processes share: an HTTP server on loopback, settings from the command line, and the announcement
+ * of the port.
  */
 import {serve} from "@hono/node-server"
 import type {Hono} from "hono"
@@ -14,7 +15,7 @@
 
 const CLOSE_WAIT_MS = 2_000
 
-/** Listens on a loopback port; port 0 picks a free one. */
+/** Listens on a loopback port, or on a free one for 0; rejects when the port is taken. */
 export function listen(app: Hono, port: number): Promise<RunningServer> {
 	return new Promise((resolve, reject) => {
 		const server = serve({fetch: app.fetch, port, hostname: "127.0.0.1"}, info =>
@@ -40,13 +41,13 @@
 	})
 }
 
-/** Reads a stand-in's settings: one JSON object as the first argument. */
+/** Returns the defaults, overridden by the JSON object in the first argument of the command line. */
 export function readSettings<T>(defaults: T): T {
 	const text = process.argv[2]
 	return text ? {...defaults, ...(JSON.parse(text) as Partial<T>)} : defaults
 }
 
-/** Tells the parent process that this one listens. */
+/** Writes the port to standard output, for `startProcess`. */
 export function announce(port: number) {
 	process.stdout.write(`${JSON.stringify({port})}\n`)
 }
--- a/packages/standins/src/utils/sleep.ts
+++ b/packages/standins/src/utils/sleep.ts
@@ -1,6 +1,6 @@
 /**
- * Waiting in stand-ins and experiments, by the runtime's own timers.
+ * A timer as a promise, for stand-ins, soaks and experiments.
  */
 
-/** Waits for so many milliseconds; for one when they are over already. */
+/** Waits for `ms` milliseconds; for one when `ms` is zero or negative. */
 export const sleep = (ms: number) => new Promise<void>(resolve => setTimeout(resolve, ms))
