--- a/packages/standins/src/fleet/client.ts
+++ b/packages/standins/src/fleet/client.ts
@@ -28,7 +28,7 @@
 	readonly query?: string
 }
 
-const DEFAULT_PATIENCE_MS = 30_000
+const DEFAULT_TIMEOUT_MS = 30_000
 const sharedAgent = new Agent({connections: 256, pipelining: 1})
 
 /** Sends one call; rejects on a timeout or a broken connection. */
@@ -50,7 +50,7 @@
 		headers,
 		body: body === undefined ? undefined : typeof body === "string" ? body : JSON.stringify(body),
 		dispatcher: options.dispatcher ?? sharedAgent,
-		signal: AbortSignal.timeout(options.patienceMs ?? DEFAULT_PATIENCE_MS),
+		signal: AbortSignal.timeout(options.patienceMs ?? DEFAULT_TIMEOUT_MS),
 	})
 	const text = await res.body.text()
 	return {
--- a/packages/standins/src/fleet/fleet.ts
+++ b/packages/standins/src/fleet/fleet.ts
@@ -45,7 +45,7 @@
 const ENTRY_BIN = scriptOf("../../../entry/dist/bin.js")
 const SHARDS = 64
 
-interface Assembly {
+interface LaunchContext {
 	readonly shape: FleetShape
 	/** The directory for settings of entry instances and recorded starts. */
 	readonly folder: string
@@ -58,7 +58,7 @@
 const urlOf = (port: number) => `http://127.0.0.1:${port}`
 
 function startTargets(
-	{shape, folder, platformPort, start}: Assembly,
+	{shape, folder, platformPort, start}: LaunchContext,
 	kind: "executor" | "worker",
 	perDomain: number,
 	extra: object,
@@ -77,7 +77,7 @@
 }
 
 async function startEntry(
-	{shape, folder, platformPort, statsdPort, links, start}: Assembly,
+	{shape, folder, platformPort, statsdPort, links, start}: LaunchContext,
 	name: string,
 	failureDomain: string,
 	httpPort: number,
@@ -101,12 +101,12 @@
 	return started
 }
 
-async function startEntries(assembly: Assembly): Promise<FleetEntry[]> {
+async function startEntries(context: LaunchContext): Promise<FleetEntry[]> {
 	const entries: FleetEntry[] = []
-	for (const failureDomain of assembly.shape.failureDomains) {
-		for (let index = 1; index <= assembly.shape.entriesPerDomain; index++) {
+	for (const failureDomain of context.shape.failureDomains) {
+		for (let index = 1; index <= context.shape.entriesPerDomain; index++) {
 			const name = `${failureDomain}-entry-${index}`
-			const started = await startEntry(assembly, name, failureDomain, 0)
+			const started = await startEntry(context, name, failureDomain, 0)
 			entries.push({name, failureDomain, url: urlOf(started.port), process: started})
 		}
 	}
@@ -143,11 +143,11 @@
 	return shards === SHARDS
 }
 
-async function assemble(
+async function createLaunchContext(
 	shape: FleetShape,
 	folder: string,
 	start: typeof startProcess,
-): Promise<Assembly> {
+): Promise<LaunchContext> {
 	const platformSettings = JSON.stringify(shape.platform)
 	const platform = await start("platform", scriptOf("../platform/main.js"), [platformSettings])
 	const sink = await start("statsd", scriptOf("../targets/statsd.js"), [])
@@ -158,16 +158,16 @@
 	return {shape, folder, platformPort: platform.port, statsdPort, links, start}
 }
 
-async function launch(assembly: Assembly, processes: Set<FleetProcess>): Promise<Fleet> {
-	const {shape, folder, links} = assembly
-	const platformUrl = urlOf(assembly.platformPort)
+async function launch(context: LaunchContext, processes: Set<FleetProcess>): Promise<Fleet> {
+	const {shape, folder, links} = context
+	const platformUrl = urlOf(context.platformPort)
 	const {endpoint, slotsPerExecutor: slots} = shape
-	const executors = await startTargets(assembly, "executor", shape.executorsPerDomain, {
+	const executors = await startTargets(context, "executor", shape.executorsPerDomain, {
 		endpoint,
 		slots,
 	})
-	const workers = await startTargets(assembly, "worker", shape.workersPerDomain, shape.worker)
-	const entries = await startEntries(assembly)
+	const workers = await startTargets(context, "worker", shape.workersPerDomain, shape.worker)
+	const entries = await startEntries(context)
 	return {
 		platformUrl,
 		entries,
@@ -179,7 +179,7 @@
 		async restartEntry(name) {
 			const entry = entries.find(item => item.name === name)!
 			const port = Number(new URL(entry.url).port)
-			entry.process = await startEntry(assembly, name, entry.failureDomain, port)
+			entry.process = await startEntry(context, name, entry.failureDomain, port)
 			return entry
 		},
 		cut: (failureDomain, what) => links!.cut(failureDomain, what),
@@ -212,7 +212,7 @@
 		return started
 	}
 	try {
-		const fleet = await launch(await assemble(shape, folder, start), processes)
+		const fleet = await launch(await createLaunchContext(shape, folder, start), processes)
 		const headers = {"if-match": "0"}
 		const put = await putJson(`${fleet.entries[0]!.url}/v1/config`, configOf(shape), headers)
 		if (put.status !== 200) throw new Error(`configuration refused: ${JSON.stringify(put.body)}`)
--- a/packages/standins/src/fleet/json-http.ts
+++ b/packages/standins/src/fleet/json-http.ts
@@ -17,14 +17,14 @@
 	return (await res.body.json()) as T
 }
 
-const WAIT_LIMIT_MS = 20_000
+const DEFAULT_WAIT_MS = 20_000
 const POLL_MS = 50
 
 /** Polls until a condition holds; rejects after `limitMs`. */
 export async function waitFor(
 	what: string,
 	isTrue: () => Promise<boolean> | boolean,
-	limitMs = WAIT_LIMIT_MS,
+	limitMs = DEFAULT_WAIT_MS,
 ): Promise<void> {
 	const until = Date.now() + limitMs
 	while (Date.now() < until) {
--- a/packages/standins/src/fleet/pair-link.ts
+++ b/packages/standins/src/fleet/pair-link.ts
@@ -37,7 +37,7 @@
 /** Opens a link on a port that is free for TCP and UDP; rejects when none is found. */
 export async function openPairLink(options: PairLinkOptions): Promise<PairLink> {
 	const sockets = new Set<Socket>()
-	const nears = new Set<Socket>()
+	const clients = new Set<Socket>()
 	const track: Track = socket => {
 		sockets.add(socket)
 		socket.setNoDelay(true)
@@ -45,9 +45,9 @@
 		socket.on("close", () => sockets.delete(socket))
 	}
 	const serve = (near: Socket) => {
-		nears.add(near)
-		near.on("close", () => nears.delete(near))
-		carry(near, options, track)
+		clients.add(near)
+		near.on("close", () => clients.delete(near))
+		forward(near, options, track)
 	}
 	const {server, datagrams, port} = await listenBoth(options.host, serve)
 	datagrams.on("message", bytes => {
@@ -62,7 +62,7 @@
 			for (const socket of sockets) socket.resetAndDestroy()
 		},
 		resetNear() {
-			for (const near of nears) near.resetAndDestroy()
+			for (const near of clients) near.resetAndDestroy()
 		},
 		close() {
 			for (const socket of sockets) socket.destroy()
@@ -73,7 +73,7 @@
 }
 
 /** Forwards one connection: connect, data and close pass each path in order. */
-function carry(near: Socket, {there, back, target}: PairLinkOptions, track: Track) {
+function forward(near: Socket, {there, back, target}: PairLinkOptions, track: Track) {
 	let far: Socket | undefined
 	const breakOff = () => {
 		near.resetAndDestroy()
@@ -81,18 +81,20 @@
 		outbound.close()
 		inbound.close()
 	}
-	const outbound = there.openLane(breakOff)
-	const inbound = back.openLane(breakOff)
+	const outbound = there.openStream(breakOff)
+	const inbound = back.openStream(breakOff)
 
-	function follow(from: Socket, lane: typeof outbound, to: () => Socket | undefined) {
+	function follow(from: Socket, stream: typeof outbound, to: () => Socket | undefined) {
 		track(from)
-		from.on("data", (chunk: Buffer) => lane.pass(() => void (to()?.writable && to()?.write(chunk))))
-		from.on("end", () => lane.pass(() => void to()?.end()))
+		from.on("data", (chunk: Buffer) =>
+			stream.pass(() => void (to()?.writable && to()?.write(chunk))),
+		)
+		from.on("end", () => stream.pass(() => void to()?.end()))
 		from.on("close", hadError =>
-			lane.pass(() => {
+			stream.pass(() => {
 				if (hadError) to()?.resetAndDestroy()
 				else to()?.destroySoon()
-				lane.close()
+				stream.close()
 			}),
 		)
 	}
--- a/packages/standins/src/fleet/path.ts
+++ b/packages/standins/src/fleet/path.ts
@@ -15,7 +15,7 @@
 	| {readonly type: "break"}
 
 /** One connection on a path; delivers in order. */
-export interface Lane {
+export interface Stream {
 	pass(deliver: () => void): void
 	close(): void
 }
@@ -28,38 +28,38 @@
 	/** Drops all further data and closes of open connections; new connections work. */
 	hush(): void
 	/** Adds a connection; `onBreak` is called when its held data is dropped. */
-	openLane(onBreak: () => void): Lane
+	openStream(onBreak: () => void): Stream
 	passDatagram(deliver: () => void): void
 }
 
-interface HeldLane extends Lane {
+interface ControlledStream extends Stream {
 	hush(): void
 	hold(): void
 	releaseAfter(ms: number): void
 	break(): void
 }
 
-interface Parcel {
+interface PendingDelivery {
 	readonly dueAt: number
 	readonly deliver: () => void
 }
 
 /** Creates a path without faults. */
 export function createPath(): Path {
-	const lanes = new Set<HeldLane>()
+	const streams = new Set<ControlledStream>()
 	let delayMs = 0
 	let holdsStreams = false
 	let losesDatagrams = false
 
-	function openLane(onBreak: () => void): Lane {
-		const lane = createLane({
+	function openStream(onBreak: () => void): Stream {
+		const stream = createStream({
 			isHeld: holdsStreams,
 			delayMs: () => delayMs,
 			onBreak,
-			onClose: () => void lanes.delete(lane),
+			onClose: () => void streams.delete(stream),
 		})
-		lanes.add(lane)
-		return lane
+		streams.add(stream)
+		return stream
 	}
 
 	return {
@@ -67,7 +67,7 @@
 			if (scope !== "streams") losesDatagrams = true
 			if (scope === "datagrams") return
 			holdsStreams = true
-			for (const lane of lanes) lane.hold()
+			for (const stream of streams) stream.hold()
 		},
 		delay(ms) {
 			delayMs = ms
@@ -77,15 +77,15 @@
 			holdsStreams = losesDatagrams = false
 			delayMs = 0
 			if (!wasHeld) return
-			for (const lane of [...lanes]) {
-				if (mending.type === "break") lane.break()
-				else lane.releaseAfter(mending.lagMs())
+			for (const stream of [...streams]) {
+				if (mending.type === "break") stream.break()
+				else stream.releaseAfter(mending.lagMs())
 			}
 		},
 		hush() {
-			for (const lane of lanes) lane.hush()
+			for (const stream of streams) stream.hush()
 		},
-		openLane,
+		openStream,
 		passDatagram(deliver) {
 			if (losesDatagrams) return
 			if (delayMs === 0) deliver()
@@ -94,29 +94,30 @@
 	}
 }
 
-function createLane(options: {
+function createStream(options: {
 	readonly isHeld: boolean
 	readonly delayMs: () => number
 	readonly onBreak: () => void
 	readonly onClose: () => void
-}): HeldLane {
+}): ControlledStream {
 	let {isHeld} = options
 	let isHushed = false
-	let parcels: Parcel[] = []
-	let pumpTimer: NodeJS.Timeout | undefined
+	let pending: PendingDelivery[] = []
+	let deliverTimer: NodeJS.Timeout | undefined
 	let releaseTimer: NodeJS.Timeout | undefined
 
-	function pump() {
-		clearTimeout(pumpTimer)
-		while (!isHeld && parcels[0] && parcels[0].dueAt <= performance.now())
-			parcels.shift()?.deliver()
-		const [next] = parcels
-		if (!isHeld && next) pumpTimer = setTimeout(pump, Math.max(1, next.dueAt - performance.now()))
+	function deliverDue() {
+		clearTimeout(deliverTimer)
+		while (!isHeld && pending[0] && pending[0].dueAt <= performance.now())
+			pending.shift()?.deliver()
+		const [next] = pending
+		if (!isHeld && next)
+			deliverTimer = setTimeout(deliverDue, Math.max(1, next.dueAt - performance.now()))
 	}
 
 	function close() {
-		parcels = []
-		clearTimeout(pumpTimer)
+		pending = []
+		clearTimeout(deliverTimer)
 		clearTimeout(releaseTimer)
 		options.onClose()
 	}
@@ -124,8 +125,8 @@
 	return {
 		pass(deliver) {
 			if (isHushed) return
-			parcels.push({dueAt: performance.now() + options.delayMs(), deliver})
-			pump()
+			pending.push({dueAt: performance.now() + options.delayMs(), deliver})
+			deliverDue()
 		},
 		hold() {
 			isHeld = true
@@ -135,13 +136,13 @@
 			clearTimeout(releaseTimer)
 			releaseTimer = setTimeout(() => {
 				isHeld = false
-				pump()
+				deliverDue()
 			}, ms)
 		},
 		hush() {
 			isHushed = true
-			parcels = []
-			clearTimeout(pumpTimer)
+			pending = []
+			clearTimeout(deliverTimer)
 		},
 		break() {
 			if (isHushed) return
--- a/packages/standins/src/fleet/process.ts
+++ b/packages/standins/src/fleet/process.ts
@@ -18,8 +18,8 @@
 	readonly pid: number
 }
 
-const START_LIMIT_MS = 20_000
-const EXIT_BY_SIGNAL = 143
+const START_TIMEOUT_MS = 20_000
+const SIGTERM_EXIT_CODE = 143
 const MAX_LOG_LINES = 400
 
 const children = new Set<ChildProcess>()
@@ -28,10 +28,10 @@
 	for (const child of children) child.kill("SIGKILL")
 })
 for (const signal of ["SIGTERM", "SIGINT"] as const) {
-	process.once(signal, () => process.exit(EXIT_BY_SIGNAL))
+	process.once(signal, () => process.exit(SIGTERM_EXIT_CODE))
 }
 
-function keepLog(child: ChildProcess): () => readonly string[] {
+function collectLog(child: ChildProcess): () => readonly string[] {
 	const lines: string[] = []
 	createInterface({input: child.stderr!}).on("line", line => {
 		lines.push(line)
@@ -53,13 +53,13 @@
 	})
 	children.add(child)
 	child.once("exit", () => children.delete(child))
-	const logTail = keepLog(child)
+	const logTail = collectLog(child)
 	const exited = new Promise<number | null>(resolve => child.once("exit", code => resolve(code)))
 	return new Promise((resolve, reject) => {
 		const timer = setTimeout(() => {
 			child.kill("SIGKILL")
 			reject(new Error(`${name} did not start in time: ${logTail().join("\n")}`))
-		}, START_LIMIT_MS)
+		}, START_TIMEOUT_MS)
 		void exited.then(code => {
 			clearTimeout(timer)
 			reject(new Error(`${name} exited with code ${code}: ${logTail().join("\n")}`))
--- a/packages/standins/src/leased/edges.ts
+++ b/packages/standins/src/leased/edges.ts
@@ -17,8 +17,8 @@
 	process.env["COTTONWOOD_PROGRAM"] ??
 	fileURLToPath(new URL("../../../../platform/dist/bin.js", import.meta.url))
 /** Generous, so that a busy test machine doesn't cause refusals for jobs that cannot be in time. */
-const PATIENT_ESTIMATE_MS = 2_000
-const PATIENT_DEADLINE_MS = 10_000
+const MIN_ESTIMATE_MS = 2_000
+const DEFAULT_DEADLINE_MS = 10_000
 const READY_POLL_MS = 50
 const READY_TRIES = 200
 /** Below the ephemeral ports, which begin at 32,768 on Linux. */
@@ -99,7 +99,7 @@
 	}
 }
 
-function follow(child: ChildProcess, lines: Record<string, unknown>[]) {
+function collectLines(child: ChildProcess, lines: Record<string, unknown>[]) {
 	let rest = ""
 	child.stdout?.on("data", (chunk: Buffer) => {
 		const parts = (rest + chunk.toString("utf8")).split("\n")
@@ -108,8 +108,8 @@
 	})
 }
 
-async function untilReady(edge: Edge, patienceMs = READY_TRIES * READY_POLL_MS) {
-	const until = performance.now() + patienceMs
+async function untilReady(edge: Edge, limitMs = READY_TRIES * READY_POLL_MS) {
+	const until = performance.now() + limitMs
 	while (performance.now() < until) {
 		if (await isReady(edge)) return
 		await new Promise(resolve => setTimeout(resolve, READY_POLL_MS))
@@ -154,7 +154,7 @@
 ): Promise<EdgeAnswer> {
 	const cpu = options.cpu ?? 27_000
 	const spec: StandInSpec = {workMs: 60, cpu, ...options.spec}
-	const estimate = options.estimateMs ?? Math.max(spec.workMs, PATIENT_ESTIMATE_MS)
+	const estimate = options.estimateMs ?? Math.max(spec.workMs, MIN_ESTIMATE_MS)
 	const step = {count: options.count ?? 1, cpu, "mem-mb": 64, "est-ms": estimate}
 	const body = {spec: JSON.stringify(spec), steps: [step], "best-effort": true, ...options.body}
 	const res = await request(`http://${edge.callers}${PREFIX}${id}`, {
@@ -162,7 +162,7 @@
 		headers: {
 			host: HOST,
 			"content-type": "application/json",
-			"x-deadline-ms": String(options.deadlineMs ?? PATIENT_DEADLINE_MS),
+			"x-deadline-ms": String(options.deadlineMs ?? DEFAULT_DEADLINE_MS),
 		},
 		body: JSON.stringify(body),
 		signal: options.signal,
@@ -223,7 +223,7 @@
 	const program = options.program ?? PROGRAM
 	const placingFile = join(folder, "placing.json")
 	writeFileSync(placingFile, JSON.stringify(options.placing ?? {}))
-	const shareOf = options.cpuShareOf ?? (() => 1)
+	const cpuShareOf = options.cpuShareOf ?? (() => 1)
 	const ipOf = options.ipOf ?? (() => "127.0.0.1")
 
 	function launch(name: string, failureDomain: string, ports: readonly number[]): Edge {
@@ -232,16 +232,18 @@
 		const store = options.storeAddressOf?.(name) ?? platform.storeAddress
 		writeFileSync(
 			file,
-			JSON.stringify(settingsOf(name, failureDomain, platform, {ip, ports}, store, shareOf(name))),
+			JSON.stringify(
+				settingsOf(name, failureDomain, platform, {ip, ports}, store, cpuShareOf(name)),
+			),
 		)
-		const ours = {COTTONWOOD_CONFIG: file, COTTONWOOD_PLACING: placingFile}
-		const env = {...process.env, ...ours, ...options.envOf?.(name)}
+		const settingsEnv = {COTTONWOOD_CONFIG: file, COTTONWOOD_PLACING: placingFile}
+		const env = {...process.env, ...settingsEnv, ...options.envOf?.(name)}
 		const child = spawn(process.execPath, [...(options.nodeArgs ?? []), program, "edge"], {
 			env,
 			stdio: ["ignore", "pipe", "inherit"],
 		})
 		const lines: Record<string, unknown>[] = []
-		follow(child, lines)
+		collectLines(child, lines)
 		const exited = new Promise<number | null>(resolve => child.once("exit", resolve))
 		const [callers, readiness, peers] = ports.map(port => `${ip}:${port}`) as [
 			string,
@@ -268,14 +270,14 @@
 		return launch(edge.name, edge.failureDomain, ports)
 	}
 
-	function endAll() {
+	function killAll() {
 		for (const {child} of edges) child.kill("SIGKILL")
 	}
-	process.once("exit", endAll)
+	process.once("exit", killAll)
 
 	async function close() {
-		process.off("exit", endAll)
-		endAll()
+		process.off("exit", killAll)
+		killAll()
 		await Promise.all(edges.map(({exited}) => exited))
 		rmSync(folder, {recursive: true, force: true})
 	}
--- a/packages/standins/src/leased/platform.ts
+++ b/packages/standins/src/leased/platform.ts
@@ -53,11 +53,11 @@
 export const PREFIX = "/orders/"
 export const QUEUE = "orders"
 const SERVICE = "svc"
-const BEAT_MS = 500
+const HEARTBEAT_MS = 500
 /** How long an executor that a task crashed stays down; longer than its entry lives. */
-const CRASHED_MS = 2_000
+const CRASH_DOWNTIME_MS = 2_000
 const LISTEN_RETRY_MS = 100
-const LAPSES_AFTER_MS = 3 * BEAT_MS
+const ENTRY_TTL_MS = 3 * HEARTBEAT_MS
 /** Keys of instances and their claims. */
 const FLEET_PREFIX = "fleet/"
 
@@ -101,9 +101,9 @@
 	}
 }
 
-/** Detects two runs of one task at once; `settle` first ends runs that are over by the executors' clocks. */
-function createJudge(
-	settle: () => void,
+/** Detects two runs of one task at once; `endExpiredRuns` first ends runs that are over by the executors' clocks. */
+function createRunChecker(
+	endExpiredRuns: () => void,
 	onCrash: (executor: string) => void,
 	record: (line: Readonly<Record<string, unknown>>) => void,
 ) {
@@ -115,7 +115,7 @@
 		onStart(executor, task, run, fence) {
 			const time = new Date().toISOString()
 			const now = running.get(task) ?? new Map<string, string>()
-			if (now.size > 0) settle()
+			if (now.size > 0) endExpiredRuns()
 			const here = `${executor}/${run} (fence ${fence}, ${time})`
 			if (now.size > 0)
 				violations.push(`TWICE: ${task} runs at ${[...now.values()].join()} and ${here}`)
@@ -129,7 +129,7 @@
 			if (how === "done") dones.set(task, (dones.get(task) ?? 0) + 1)
 			record({kind: "end", executor, task, run, how})
 		},
-		onBroken: rule => void violations.push(rule),
+		onViolation: rule => void violations.push(rule),
 		onCrash,
 		onOrder: (executor, order) => record({kind: "order", executor, ...order}),
 	}
@@ -141,10 +141,10 @@
 	const through = options.through ?? (address => Promise.resolve(address))
 	const store = new WireStore()
 	const executors: HostedExecutor[] = []
-	const settle = () => executors.forEach(({executor}) => executor.settle())
+	const endExpiredRuns = () => executors.forEach(({executor}) => executor.settle())
 	const record = (line: Readonly<Record<string, unknown>>) =>
 		options.onRecord?.({timestamp: new Date().toISOString(), ...line})
-	const judge = createJudge(settle, crash, record)
+	const checker = createRunChecker(endExpiredRuns, crash, record)
 	const crashed = new Set<WireExecutor>()
 	store.onWrite = (key, value) => {
 		if (key.startsWith(FLEET_PREFIX)) record({kind: "store", key, value})
@@ -158,10 +158,10 @@
 	function newExecutor(name: string): WireExecutor {
 		const id = `i-${++serial}`
 		record({kind: "executor", executor: id, name})
-		return new WireExecutor(id, capacityCpu, judge.events, options.clockRateOf?.(name))
+		return new WireExecutor(id, capacityCpu, checker.events, options.clockRateOf?.(name))
 	}
 
-	function beat({executor, address, failureDomain}: HostedExecutor) {
+	function writeEntry({executor, address, failureDomain}: HostedExecutor) {
 		store.write(`servers/${executor.id}`, {
 			service: SERVICE,
 			address,
@@ -187,12 +187,12 @@
 		executor.crash()
 		server.close()
 		server.closeAllConnections()
-		setTimeout(() => store.remove(`servers/${id}`), LAPSES_AFTER_MS)
+		setTimeout(() => store.remove(`servers/${id}`), ENTRY_TTL_MS)
 		const begin = () => {
 			hosted.executor = newExecutor(hosted.name)
-			beat(hosted)
+			writeEntry(hosted)
 		}
-		setTimeout(() => void listenAgain(server, port).then(begin), CRASHED_MS)
+		setTimeout(() => void listenAgain(server, port).then(begin), CRASH_DOWNTIME_MS)
 	}
 
 	const executorsOf = options.executorsOf ?? (() => options.executorsPerDomain)
@@ -206,20 +206,20 @@
 			const executor = newExecutor(name)
 			const hosted: HostedExecutor = {executor, failureDomain, name, address, server}
 			executors.push(hosted)
-			beat(hosted)
+			writeEntry(hosted)
 		}
-	const beats = setInterval(() => {
+	const heartbeatTimer = setInterval(() => {
 		if (store.faults.down !== undefined) return
-		for (const hosted of executors) if (!crashed.has(hosted.executor)) beat(hosted)
-	}, BEAT_MS)
+		for (const hosted of executors) if (!crashed.has(hosted.executor)) writeEntry(hosted)
+	}, HEARTBEAT_MS)
 
 	return {
 		store,
 		storeAddress,
 		executors,
-		violations: judge.violations,
-		startsOf: task => judge.starts.get(task) ?? 0,
-		donesOf: task => judge.dones.get(task) ?? 0,
+		violations: checker.violations,
+		startsOf: task => checker.starts.get(task) ?? 0,
+		donesOf: task => checker.dones.get(task) ?? 0,
 		putConfig(version, changes = {}) {
 			const services = [{name: SERVICE, "enforces-capacity": false}]
 			store.write("op/config", {version, routes: routesFor([]), services, ...changes})
@@ -229,14 +229,14 @@
 			store.remove(`servers/${hosted.executor.id}`)
 			hosted.executor.crash()
 			hosted.executor = newExecutor(hosted.name)
-			beat(hosted)
+			writeEntry(hosted)
 		},
 		resize(hosted, cpu) {
 			hosted.executor.resize(cpu)
-			beat(hosted)
+			writeEntry(hosted)
 		},
 		async close() {
-			clearInterval(beats)
+			clearInterval(heartbeatTimer)
 			store.close()
 			const servers = [storeServer, ...executors.map(({server}) => server)]
 			for (const {executor} of executors) executor.crash()
--- a/packages/standins/src/leased/reroute.ts
+++ b/packages/standins/src/leased/reroute.ts
@@ -7,7 +7,7 @@
 import {Socket as Datagrams} from "node:dgram"
 import {Socket} from "node:net"
 
-const ORPHAN_LOOK_MS = 500
+const PARENT_CHECK_MS = 500
 const routes = JSON.parse(process.env["COTTONWOOD_ROUTES"] ?? "{}") as Record<string, string>
 
 type AnyFunction = (this: unknown, ...args: unknown[]) => unknown
@@ -48,4 +48,4 @@
 const parent = process.ppid
 setInterval(() => {
 	if (process.ppid !== parent) process.kill(process.pid, "SIGKILL")
-}, ORPHAN_LOOK_MS).unref()
+}, PARENT_CHECK_MS).unref()
--- a/packages/standins/src/leased/wire-executor.ts
+++ b/packages/standins/src/leased/wire-executor.ts
@@ -29,7 +29,7 @@
 	readonly startedAt: number
 	readonly workMs: number
 	/** The outcome when the work is done; undefined for a hanging task. */
-	readonly ends: string | undefined
+	readonly outcome: string | undefined
 	readonly cancel: () => void
 }
 
@@ -37,15 +37,15 @@
 export interface ExecutorEvents {
 	onStart(executor: string, task: string, run: number, fence: number): void
 	onEnd(executor: string, task: string, run: number, how: string): void
-	onBroken(rule: string): void
+	onViolation(rule: string): void
 	/** A task has crashed the executor. */
 	onCrash(executor: string): void
 	/** An order was answered with `status`, refusals included. */
-	onOrder(executor: string, order: CarriedOut): void
+	onOrder(executor: string, order: OrderResult): void
 }
 
 /** An order and its result. */
-export interface CarriedOut {
+export interface OrderResult {
 	readonly path: string
 	readonly fence: number
 	readonly status: number
@@ -76,11 +76,11 @@
 
 const MAX_LEASE_MS = 1_000
 const STOP_MS = 5
-const LEASE_LOOK_MS = 2
+const LEASE_CHECK_MS = 2
 /** Leaves time for the answer to the start. */
-const CRASHES_AFTER_MS = 20
+const CRASH_DELAY_MS = 20
 /** A smaller capacity is announced with the next heartbeat, and enforced 3 s after that. */
-const SHRUNK_COUNTS_AFTER_MS = 3_500
+const EARLIER_CAPACITY_MS = 3_500
 
 export class WireExecutor {
 	readonly faults: ExecutorFaults = {}
@@ -93,11 +93,11 @@
 	private serial = 0
 	private highestFence = 0
 	private leaseUntil = 0
-	private isGone = false
-	private roomCpu: number
+	private hasCrashed = false
+	private currentCpu: number
 	/** Earlier capacities, which starts may still rely on until the given time. */
-	private earlierRooms: readonly {readonly cpu: number; readonly until: number}[] = []
-	private readonly leaseTimer = setInterval(() => this.settle(), LEASE_LOOK_MS)
+	private earlierCapacities: readonly {readonly cpu: number; readonly until: number}[] = []
+	private readonly leaseTimer = setInterval(() => this.settle(), LEASE_CHECK_MS)
 	private readonly waiting = new Set<() => void>()
 
 	constructor(
@@ -107,24 +107,24 @@
 		/** Milliseconds that the executor's clock advances in one. */
 		private readonly clockRate = 1,
 	) {
-		this.roomCpu = capacityCpu
+		this.currentCpu = capacityCpu
 	}
 
 	capacityCpu(): number {
-		return this.roomCpu
+		return this.currentCpu
 	}
 
 	resize(cpu: number) {
-		const until = performance.now() + SHRUNK_COUNTS_AFTER_MS
-		this.earlierRooms = [...this.earlierRooms, {cpu: this.roomCpu, until}]
-		this.roomCpu = cpu
+		const until = performance.now() + EARLIER_CAPACITY_MS
+		this.earlierCapacities = [...this.earlierCapacities, {cpu: this.currentCpu, until}]
+		this.currentCpu = cpu
 	}
 
 	/** The capacity that starts are checked against: the largest of the current and recent ones. */
-	private judgedCpu(): number {
+	private enforcedCpu(): number {
 		const now = performance.now()
-		this.earlierRooms = this.earlierRooms.filter(({until}) => until > now)
-		return Math.max(this.roomCpu, ...this.earlierRooms.map(({cpu}) => cpu))
+		this.earlierCapacities = this.earlierCapacities.filter(({until}) => until > now)
+		return Math.max(this.currentCpu, ...this.earlierCapacities.map(({cpu}) => cpu))
 	}
 
 	clock(): number {
@@ -137,9 +137,9 @@
 
 	/** Ends all runs as `crashed` and answers no further call. */
 	crash() {
-		this.isGone = true
+		this.hasCrashed = true
 		clearInterval(this.leaseTimer)
-		for (const run of [...this.running.values()]) this.drop(run, "crashed")
+		for (const run of [...this.running.values()]) this.removeRun(run, "crashed")
 		for (const resolve of this.waiting) resolve()
 	}
 
@@ -152,16 +152,16 @@
 		const late = this.faults.lateStarts
 		if (req.url === "/run-start" && late && late.count > 0) {
 			late.count--
-			setTimeout(() => this.carryOut(req.url ?? "", order), late.delayMs)
+			setTimeout(() => this.execute(req.url ?? "", order), late.delayMs)
 			return
 		}
 		const lateMs = this.faults.lateOrders?.(order.fence ?? 0)
 		if (lateMs !== undefined) {
-			setTimeout(() => this.carryOut(req.url ?? "", order), lateMs)
+			setTimeout(() => this.execute(req.url ?? "", order), lateMs)
 			return
 		}
 		if (req.url === "/hold") return this.answerHold(order, res)
-		const [status, answer] = this.carryOut(req.url ?? "", order)
+		const [status, answer] = this.execute(req.url ?? "", order)
 		if (!this.faults.loseAnswers) this.answer(res, status, answer)
 	}
 
@@ -170,36 +170,36 @@
 		res.end(JSON.stringify({"clock-ms": this.clock(), ...body}))
 	}
 
-	private carryOut(path: string, order: Order): [number, object] {
-		if (this.isGone) return [503, {}]
+	private execute(path: string, order: Order): [number, object] {
+		if (this.hasCrashed) return [503, {}]
 		this.settle()
-		const carriedOut = this.obey(path, order)
-		this.tell(path, order, carriedOut[0])
-		return carriedOut
+		const result = this.apply(path, order)
+		this.report(path, order, result[0])
+		return result
 	}
 
-	private tell(path: string, {fence, task, run}: Order, status: number) {
+	private report(path: string, {fence, task, run}: Order, status: number) {
 		const leaseLeftMs = this.leaseUntil - this.clock()
 		this.events.onOrder(this.id, {path, fence, status, task, run, leaseLeftMs})
 	}
 
-	private obey(path: string, order: Order): [number, object] {
+	private apply(path: string, order: Order): [number, object] {
 		const fence = order.fence ?? 0
 		if (fence < this.highestFence) return [409, {reason: "fence"}]
 		this.highestFence = fence
 		if (path === "/run-start") return this.startTask(order)
 		if (path === "/run-stop") return this.stopTask(order)
-		if (path === "/hold") return this.renew(order)
+		if (path === "/hold") return this.applyHold(order)
 		return [404, {}]
 	}
 
-	private extend(deadlineMs: number | undefined) {
+	private extendLease(deadlineMs: number | undefined) {
 		if (deadlineMs === undefined) return
 		this.leaseUntil = Math.max(this.leaseUntil, Math.min(deadlineMs, this.clock() + MAX_LEASE_MS))
 	}
 
-	private renew(order: Order): [number, object] {
-		this.extend(order["deadline-ms"])
+	private applyHold(order: Order): [number, object] {
+		this.extendLease(order["deadline-ms"])
 		this.finished = this.finished.filter(([serial]) => serial > (order["last-seen"] ?? 0))
 		return [200, {}]
 	}
@@ -208,29 +208,33 @@
 		const {task, run} = order
 		if (this.faults.unhealthy) return [503, {}]
 		if ((order["deadline-ms"] ?? 0) <= this.clock()) return [409, {reason: "late"}]
-		this.extend(order["deadline-ms"])
+		this.extendLease(order["deadline-ms"])
 		if (this.running.get(task)?.run === run) return [200, {}]
 		if (run <= (this.lastRun.get(task) ?? 0)) return [409, {reason: "old"}]
-		this.begin(order)
+		this.startRun(order)
 		return [200, {}]
 	}
 
-	private begin({task, run, spec, fence}: Order) {
+	private startRun({task, run, spec, fence}: Order) {
 		const {workMs, cpu, fails, crashes} = JSON.parse(spec) as StandInSpec
 		this.lastRun.set(task, run)
 		this.starts++
 		const takesMs = workMs * (this.faults.slowness ?? 1)
-		const ends = fails || this.faults.failAll ? "failed" : "done"
+		const outcome = fails || this.faults.failAll ? "failed" : "done"
 		const isHanging = this.faults.hang
-		const timer = isHanging ? undefined : setTimeout(() => this.end(task, run, ends), takesMs)
+		const timer = isHanging ? undefined : setTimeout(() => this.end(task, run, outcome), takesMs)
 		const cancel = () => clearTimeout(timer)
-		const progress = {startedAt: this.clock(), workMs: takesMs, ends: isHanging ? undefined : ends}
+		const progress = {
+			startedAt: this.clock(),
+			workMs: takesMs,
+			outcome: isHanging ? undefined : outcome,
+		}
 		this.running.set(task, {task, run, cpu, ...progress, cancel})
 		this.events.onStart(this.id, task, run, fence)
-		if (crashes) setTimeout(() => this.events.onCrash(this.id), CRASHES_AFTER_MS)
+		if (crashes) setTimeout(() => this.events.onCrash(this.id), CRASH_DELAY_MS)
 		let used = 0
 		for (const running of this.running.values()) used += running.cpu
-		if (used > this.judgedCpu()) this.events.onBroken(`LIMIT at ${this.id}: ${used}`)
+		if (used > this.enforcedCpu()) this.events.onViolation(`LIMIT at ${this.id}: ${used}`)
 	}
 
 	private stopTask({task, run}: Order): [number, object] {
@@ -243,7 +247,7 @@
 		return [200, {}]
 	}
 
-	private drop(run: Running, how: string) {
+	private removeRun(run: Running, how: string) {
 		run.cancel()
 		this.running.delete(run.task)
 		this.events.onEnd(this.id, run.task, run.run, how)
@@ -252,7 +256,7 @@
 	private end(task: string, run: number, how: string) {
 		const running = this.running.get(task)
 		if (running?.run !== run) return
-		this.drop(running, how)
+		this.removeRun(running, how)
 		this.finished.push([++this.serial, task, run, how, ""])
 		for (const resolve of this.waiting) resolve()
 		this.waiting.clear()
@@ -261,14 +265,15 @@
 	/** Ends runs that are over by the executor's clock; the runs' own timers may fire late in a busy process. */
 	settle() {
 		const now = this.clock()
-		for (const {task, run, startedAt, workMs, ends} of [...this.running.values()]) {
+		for (const {task, run, startedAt, workMs, outcome} of [...this.running.values()]) {
 			const doneAt = startedAt + workMs
-			if (ends !== undefined && doneAt < Math.min(now, this.leaseUntil)) this.end(task, run, ends)
+			if (outcome !== undefined && doneAt < Math.min(now, this.leaseUntil))
+				this.end(task, run, outcome)
 			else if (now > this.leaseUntil) this.end(task, run, "lapsed")
 		}
 	}
 
-	private rows() {
+	private runningRows() {
 		const now = this.clock()
 		return [...this.running.values()].map(({task, run, startedAt, workMs}) => {
 			const percent = this.faults.hang ? 0 : Math.floor(((now - startedAt) / workMs) * 100)
@@ -277,12 +282,12 @@
 	}
 
 	private async answerHold(order: Order, res: ServerResponse) {
-		const [status, refusal] = this.carryOut("/hold", order)
+		const [status, refusal] = this.execute("/hold", order)
 		if (status !== 200) return this.answer(res, status, refusal)
 		if (this.finished.length === 0) await this.nextEnd(order["wait-ms"] ?? 0)
-		if (this.isGone) return void res.destroy()
+		if (this.hasCrashed) return void res.destroy()
 		if (this.faults.mute || this.faults.loseAnswers) return
-		this.answer(res, 200, {running: this.rows(), finished: this.finished})
+		this.answer(res, 200, {running: this.runningRows(), finished: this.finished})
 	}
 
 	private nextEnd(ms: number): Promise<void> {
--- a/packages/standins/src/leased/wire-store.ts
+++ b/packages/standins/src/leased/wire-store.ts
@@ -39,9 +39,9 @@
 	readonly remove?: readonly string[]
 }
 
-const PAGE_ITEMS = 500
-const SWEEP_MS = 50
-const MAX_ENTRIES = 32
+const MAX_PAGE_ITEMS = 500
+const EXPIRY_CHECK_MS = 50
+const MAX_TXN_ENTRIES = 32
 
 export class WireStore {
 	readonly faults: StoreFaults = {}
@@ -52,13 +52,13 @@
 	private readonly items = new Map<string, Item>()
 	private readonly leases = new Map<number, Lease>()
 	private changes: Change[] = []
-	private oldestKept = 0
+	private compactedRevision = 0
 	private revision = 0
 	private leaseSerial = 0
 	private readonly waiting = new Set<() => void>()
 	/** Connections with a lost answer. */
-	private readonly mute = new WeakSet<object>()
-	private readonly sweeper = setInterval(() => this.sweep(), SWEEP_MS)
+	private readonly mutedSockets = new WeakSet<object>()
+	private readonly expiryTimer = setInterval(() => this.expireLeases(), EXPIRY_CHECK_MS)
 
 	/** Writes a key without lease, as the operator or an executor does. */
 	write(key: string, value: unknown) {
@@ -79,12 +79,12 @@
 	/** Drops the change history, as a compaction does; watches from before get 410. */
 	forgetHistory() {
 		this.changes = []
-		this.oldestKept = this.revision
+		this.compactedRevision = this.revision
 		this.wake()
 	}
 
 	close() {
-		clearInterval(this.sweeper)
+		clearInterval(this.expiryTimer)
 		this.wake()
 	}
 
@@ -92,7 +92,7 @@
 		const url = new URL(req.url ?? "/", "http://store")
 		const [, call = "", id = ""] = url.pathname.split("/")
 		this.calls.set(call, (this.calls.get(call) ?? 0) + 1)
-		if (this.faults.down === "silent" || this.mute.has(req.socket)) return
+		if (this.faults.down === "silent" || this.mutedSockets.has(req.socket)) return
 		if (this.faults.down === "busy") return void this.answer(res, 503, {error: "down"})
 		if (this.faults.slowMs) await sleep(this.faults.slowMs)
 		const query = url.searchParams
@@ -134,7 +134,7 @@
 		const found = [...this.items.values()]
 			.filter(({key}) => key.startsWith(prefix) && key > after)
 			.sort((a, b) => (a.key < b.key ? -1 : 1))
-		const items = found.slice(0, PAGE_ITEMS)
+		const items = found.slice(0, MAX_PAGE_ITEMS)
 		this.answer(res, 200, {
 			items,
 			"has-more": found.length > items.length,
@@ -147,7 +147,7 @@
 		const after = Number(query.get("after-rev"))
 		const until = performance.now() + Number(query.get("wait-ms"))
 		for (;;) {
-			if (after < this.oldestKept) return this.answer(res, 410, {})
+			if (after < this.compactedRevision) return this.answer(res, 410, {})
 			const seen = this.changes.filter(({rev, key}) => rev > after && key.startsWith(prefix))
 			const leftMs = until - performance.now()
 			if (seen.length > 0 || leftMs <= 0) {
@@ -163,7 +163,7 @@
 		const conditions = body["expected-rev"] ?? []
 		const puts = body.puts ?? []
 		const removed = body.remove ?? []
-		if (conditions.length + puts.length + removed.length > MAX_ENTRIES)
+		if (conditions.length + puts.length + removed.length > MAX_TXN_ENTRIES)
 			return this.answer(res, 400, {error: "more than 32 entries"})
 		const isMet = conditions.every(({key, rev}) => (this.items.get(key)?.rev ?? 0) === rev)
 		if (!isMet) {
@@ -178,7 +178,7 @@
 		this.wake()
 		if (this.faults.loseAnswers) {
 			this.faults.loseAnswers--
-			if (res.socket) this.mute.add(res.socket)
+			if (res.socket) this.mutedSockets.add(res.socket)
 			return
 		}
 		this.answer(res, 200, {rev: this.revision})
@@ -218,7 +218,7 @@
 		this.wake()
 	}
 
-	private sweep() {
+	private expireLeases() {
 		const now = performance.now()
 		for (const [id, {expiresAt}] of this.leases) if (expiresAt < now) this.endLease(id)
 	}
--- a/packages/standins/src/platform/kv.ts
+++ b/packages/standins/src/platform/kv.ts
@@ -33,7 +33,7 @@
 	readonly wake: () => void
 }
 
-const MAX_DELETED_KEPT = 10_000
+const MAX_DELETIONS = 10_000
 
 export class KeyValueData {
 	private readonly items = new Map<string, Stored>()
@@ -129,7 +129,7 @@
 		this.items.delete(key)
 		this.revision++
 		this.deletions.push({key, revision: this.revision})
-		if (this.deletions.length > MAX_DELETED_KEPT) this.deletions = this.deletions.slice(1_000)
+		if (this.deletions.length > MAX_DELETIONS) this.deletions = this.deletions.slice(1_000)
 		this.wake(key)
 	}
 
--- a/packages/standins/src/platform/platform.ts
+++ b/packages/standins/src/platform/platform.ts
@@ -49,7 +49,7 @@
 })
 
 const NO_FAULTS: Faults = Object.freeze({down: false, delayMs: 0, loseAnswers: 0})
-const LEASE_TICK_MS = 100
+const TICK_MS = 100
 const MAX_WATCH_MS = 60_000
 
 type Env = {Bindings: HttpBindings}
@@ -59,21 +59,21 @@
 	const random = seededRandom(settings.seed)
 	const calls: Record<string, number> = {}
 	let faults = NO_FAULTS
-	let outageEnds: (() => void)[] = []
+	let outageWaiters: (() => void)[] = []
 	const app = new Hono<Env>()
 
 	const ticker = setInterval(() => {
 		if (!faults.down) data.expireLeases(Date.now())
-	}, LEASE_TICK_MS)
+	}, TICK_MS)
 	ticker.unref()
 
 	function countCall(name: string) {
 		calls[name] = (calls[name] ?? 0) + 1
 	}
 
-	async function arrive(name: string, ms: number) {
+	async function simulateCall(name: string, ms: number) {
 		countCall(name)
-		while (faults.down) await new Promise<void>(resolve => outageEnds.push(resolve))
+		while (faults.down) await new Promise<void>(resolve => outageWaiters.push(resolve))
 		const waitMs = ms + faults.delayMs
 		if (waitMs > 0) await sleep(waitMs)
 	}
@@ -88,13 +88,13 @@
 	}
 
 	app.get("/kv/*", async c => {
-		await arrive("read", settings.readMs)
+		await simulateCall("read", settings.readMs)
 		const item = data.get(decodeURIComponent(c.req.path.slice("/kv/".length)))
 		return item ? c.json(item) : c.json({}, 404)
 	})
 
 	app.get("/list", async c => {
-		await arrive("read", settings.readMs)
+		await simulateCall("read", settings.readMs)
 		return c.json(data.list(c.req.query("prefix") ?? ""))
 	})
 
@@ -104,7 +104,7 @@
 			expect?: number
 			lease?: string
 		}>()
-		await arrive("write", settings.writeMs)
+		await simulateCall("write", settings.writeMs)
 		const key = decodeURIComponent(c.req.path.slice("/kv/".length))
 		const result = data.put(key, value, expect, lease)
 		const status = result.type === "done" ? 200 : result.type === "conflict" ? 409 : 410
@@ -112,34 +112,34 @@
 	})
 
 	app.delete("/kv", async c => {
-		await arrive("write", settings.writeMs)
+		await simulateCall("write", settings.writeMs)
 		return answerWrite(c, {deleted: data.deletePrefix(c.req.query("prefix") ?? "/none")})
 	})
 
 	app.post("/leases", async c => {
 		const {ttlMs} = await c.req.json<{ttlMs: number}>()
-		await arrive("lease", settings.writeMs)
+		await simulateCall("lease", settings.writeMs)
 		return answerWrite(c, {id: data.grantLease(ttlMs, Date.now())})
 	})
 
 	app.post("/leases/:id/keepalive", async c => {
-		await arrive("lease", settings.readMs)
+		await simulateCall("lease", settings.readMs)
 		const isAlive = data.keepAlive(c.req.param("id"), Date.now())
 		return answerWrite(c, {}, isAlive ? 200 : 410)
 	})
 
 	app.delete("/leases/:id", async c => {
-		await arrive("lease", settings.writeMs)
+		await simulateCall("lease", settings.writeMs)
 		data.revoke(c.req.param("id"))
 		return answerWrite(c, {})
 	})
 
 	app.get("/watch", async c => {
-		await arrive("watch", 0)
+		await simulateCall("watch", 0)
 		const waitMs = Math.min(MAX_WATCH_MS, Number(c.req.query("waitMs") ?? 0))
 		const after = Number(c.req.query("after") ?? 0)
 		const change = await data.watch(c.req.query("prefix") ?? "", after, waitMs)
-		while (faults.down) await new Promise<void>(resolve => outageEnds.push(resolve))
+		while (faults.down) await new Promise<void>(resolve => outageWaiters.push(resolve))
 		return c.json(change)
 	})
 
@@ -148,8 +148,8 @@
 		faults = {...NO_FAULTS, ...next}
 		if (!wasDown || faults.down) return
 		data.extendLeases(Date.now())
-		const waiting = outageEnds
-		outageEnds = []
+		const waiting = outageWaiters
+		outageWaiters = []
 		for (const wake of waiting) wake()
 	})
 	addInstanceList(app, settings)
@@ -170,29 +170,29 @@
 
 /** Adds the instance list: instances renew their own entries, and readers see changes after `listLagMs`. */
 function addInstanceList(app: Hono<Env>, settings: PlatformSettings) {
-	const lines = new Map<string, {readonly line: ListedInstance; readonly renewedAt: number}>()
-	let shown: readonly ListedInstance[] = []
+	const entries = new Map<string, {readonly line: ListedInstance; readonly renewedAt: number}>()
+	let visible: readonly ListedInstance[] = []
 	const ticker = setInterval(() => {
 		const now = Date.now()
-		for (const [id, {renewedAt}] of lines) {
-			if (now - renewedAt > settings.listTtlMs) lines.delete(id)
+		for (const [id, {renewedAt}] of entries) {
+			if (now - renewedAt > settings.listTtlMs) entries.delete(id)
 		}
-		const present = [...lines.values()].map(({line}) => line)
-		setTimeout(() => (shown = present), settings.listLagMs).unref()
-	}, LEASE_TICK_MS)
+		const present = [...entries.values()].map(({line}) => line)
+		setTimeout(() => (visible = present), settings.listLagMs).unref()
+	}, TICK_MS)
 	ticker.unref()
 
 	app.put("/instances/:id", async c => {
 		const line = await c.req.json<ListedInstance>()
-		lines.set(c.req.param("id"), {line, renewedAt: Date.now()})
+		entries.set(c.req.param("id"), {line, renewedAt: Date.now()})
 		return c.json({})
 	})
 	app.delete("/instances/:id", c => {
-		lines.delete(c.req.param("id"))
+		entries.delete(c.req.param("id"))
 		return c.json({})
 	})
 	app.get("/instances", c => {
-		const body = JSON.stringify({instances: shown})
+		const body = JSON.stringify({instances: visible})
 		const tag = `"${digestOf(body)}"`
 		if (c.req.header("if-none-match") === tag) return c.body(null, 304, {etag: tag})
 		return c.body(body, 200, {"content-type": "application/json", etag: tag})
--- a/packages/standins/src/targets/executor.ts
+++ b/packages/standins/src/targets/executor.ts
@@ -7,7 +7,7 @@
 import {Hono} from "hono"
 import type {HttpBindings} from "@hono/node-server"
 import {announce, listen, readSettings} from "../utils/server.js"
-import {openJudge} from "./judge.js"
+import {openStartLog} from "./judge.js"
 import {register} from "./registration.js"
 import {sleep} from "../utils/sleep.js"
 
@@ -47,7 +47,7 @@
 	labels: {},
 })
 
-const judge = openJudge(settings.judge, settings.id)
+const startLog = openStartLog(settings.judge, settings.id)
 const counters = {starts: 0, busy: 0, refusedLeaving: 0, maxRunning: 0}
 let behavior: Behavior = {failAll: false, slowFactor: 1, answer: "whole"}
 let running = 0
@@ -70,7 +70,7 @@
 	counters.starts++
 	counters.maxRunning = Math.max(counters.maxRunning, running)
 	const submission = c.req.header("cottonwood-submission") ?? ""
-	judge.recordStart({submission, task: Number(c.req.header("cottonwood-task") ?? 0), attempt})
+	startLog.recordStart({submission, task: Number(c.req.header("cottonwood-task") ?? 0), attempt})
 	const payload = (await c.req.json<Payload | null>()) ?? {}
 	await sleep((payload.ms ?? 50) * behavior.slowFactor)
 	running--
--- a/packages/standins/src/targets/judge.ts
+++ b/packages/standins/src/targets/judge.ts
@@ -11,12 +11,12 @@
 	readonly attempt: string
 }
 
-export interface Judge {
+export interface StartLog {
 	recordStart(start: Start): void
 }
 
 /** Opens the log of one process; an empty folder disables it. */
-export function openJudge(folder: string, name: string): Judge {
+export function openStartLog(folder: string, name: string): StartLog {
 	if (folder === "") return {recordStart: () => undefined}
 	const file = join(folder, `${name}.starts`)
 	return {recordStart: start => appendFileSync(file, `${JSON.stringify(start)}\n`)}
--- a/packages/standins/src/targets/registration.ts
+++ b/packages/standins/src/targets/registration.ts
@@ -12,9 +12,9 @@
 }
 
 /** Registers an instance and renews its entry until stopped; failed calls are ignored. */
-export function register(platform: string, line: ListedInstance): Registration {
-	let current = line
-	const url = `${platform}/instances/${encodeURIComponent(line.id)}`
+export function register(platform: string, instance: ListedInstance): Registration {
+	let current = instance
+	const url = `${platform}/instances/${encodeURIComponent(instance.id)}`
 	const put = async () => {
 		const options = {
 			method: "PUT" as const,
--- a/packages/standins/src/targets/statsd.ts
+++ b/packages/standins/src/targets/statsd.ts
@@ -7,7 +7,7 @@
 const counters = new Map<string, number>()
 const gauges = new Map<string, number>()
 
-function takeLine(line: string) {
+function applyLine(line: string) {
 	const match = /^([^:]+):([-+0-9.]+)\|([a-z]+)(?:\|#(.*))?$/.exec(line)
 	if (!match) return
 	const [, name, value, type] = match
@@ -16,7 +16,7 @@
 }
 
 const socket = createSocket("udp4")
-socket.on("message", message => message.toString().split("\n").forEach(takeLine))
+socket.on("message", message => message.toString().split("\n").forEach(applyLine))
 const app = new Hono()
 app.get("/metrics", c =>
 	c.json({counters: Object.fromEntries(counters), gauges: Object.fromEntries(gauges)}),
--- a/packages/standins/src/targets/worker.ts
+++ b/packages/standins/src/targets/worker.ts
@@ -7,7 +7,7 @@
 import {Hono} from "hono"
 import {stream} from "hono/streaming"
 import {announce, listen, readSettings} from "../utils/server.js"
-import {openJudge} from "./judge.js"
+import {openStartLog} from "./judge.js"
 import {register} from "./registration.js"
 
 interface WorkerSettings {
@@ -66,10 +66,10 @@
 })
 
 const MAX_REMEMBERED = 50_000
-const judge = openJudge(settings.judge, settings.id)
+const startLog = openStartLog(settings.judge, settings.id)
 const used = {cpu: 0, memoryMb: 0, accelerators: 0}
 const counters = {starts: 0, busy: 0, batches: 0, stopped: 0, refusedLeaving: 0}
-const stops = new Map<string, (event: TaskEvent) => void>()
+const endings = new Map<string, (event: TaskEvent) => void>()
 const finished = new Map<string, TaskEvent>()
 let behavior: Behavior = {failAll: false, slowFactor: 1}
 let isLeaving = false
@@ -106,13 +106,13 @@
 	}
 	occupy(task.resources, 1)
 	counters.starts++
-	judge.recordStart({submission: task.submission, task: task.task, attempt})
+	startLog.recordStart({submission: task.submission, task: task.task, attempt})
 	return new Promise(resolve => {
 		const runMs = (task.payload?.ms ?? 50) * behavior.slowFactor
 		const end = (event: TaskEvent) => {
 			clearTimeout(timer)
 			clearTimeout(lease)
-			stops.delete(attempt)
+			endings.delete(attempt)
 			occupy(task.resources, -1)
 			remember(event)
 			resolve(event)
@@ -129,7 +129,7 @@
 			() => end({attempt, type: "failed", detail: "the lease ended"}),
 			task.leaseMs,
 		)
-		stops.set(attempt, end)
+		endings.set(attempt, end)
 	})
 }
 
@@ -163,7 +163,7 @@
 	const {attempts} = await c.req.json<{attempts: readonly string[]}>()
 	const states = attempts.map(attempt => ({
 		attempt,
-		state: stops.has(attempt) ? "running" : finished.has(attempt) ? "finished" : "unknown",
+		state: endings.has(attempt) ? "running" : finished.has(attempt) ? "finished" : "unknown",
 		event: finished.get(attempt),
 	}))
 	return c.json({attempts: states})
@@ -172,7 +172,7 @@
 app.post("/stop", async c => {
 	const {attempts} = await c.req.json<{attempts: readonly string[]}>()
 	for (const attempt of attempts) {
-		const end = stops.get(attempt)
+		const end = endings.get(attempt)
 		if (!end) continue
 		counters.stopped++
 		end({attempt, type: "failed", detail: "stopped"})
--- a/packages/standins/src/utils/server.ts
+++ b/packages/standins/src/utils/server.ts
@@ -13,7 +13,7 @@
 	close(): Promise<void>
 }
 
-const CLOSE_WAIT_MS = 2_000
+const CLOSE_TIMEOUT_MS = 2_000
 
 /** Listens on a loopback port, or on a free one for 0; rejects when the port is taken. */
 export function listen(app: Hono, port: number): Promise<RunningServer> {
@@ -32,7 +32,7 @@
 
 function closeServer(server: Server): Promise<void> {
 	return new Promise(resolve => {
-		const timer = setTimeout(() => server.closeAllConnections(), CLOSE_WAIT_MS)
+		const timer = setTimeout(() => server.closeAllConnections(), CLOSE_TIMEOUT_MS)
 		server.close(() => {
 			clearTimeout(timer)
 			resolve()
