--- a/packages/standins/src/leased/wire-executor.ts
+++ b/packages/standins/src/leased/wire-executor.ts
@@ -135,7 +135,7 @@
 		return this.running.size
 	}
 
-	/** Ends all runs as `crashed` and answers no further call. */
+	/** Ends all runs as `crashed`, closes open holds and refuses later orders with status 503. */
 	crash() {
 		this.hasCrashed = true
 		clearInterval(this.leaseTimer)
