--- a/packages/standins/src/fleet/client.ts
+++ b/packages/standins/src/fleet/client.ts
@@ -1,5 +1,5 @@
 /**
- * A caller: submits over HTTP and reads whole answers.
+ * An HTTP caller of entry instances, for tests, the demo, soaks and benchmarks.
  */
 import {Agent, request, type Dispatcher} from "undici"
 
@@ -23,15 +23,15 @@
 	readonly caller?: string
 	readonly deadlineMs?: number
 	readonly dispatcher?: Dispatcher
-	/** How long the caller waits before it counts the answer as lost, in milliseconds. */
+	/** The timeout of the call in milliseconds. */
 	readonly patienceMs?: number
 	readonly query?: string
 }
 
-const DEFAULT_PATIENCE_MS = 30_000
+const DEFAULT_TIMEOUT_MS = 30_000
 const sharedAgent = new Agent({connections: 256, pipelining: 1})
 
-/** Sends one call; an exchange that breaks rejects. */
+/** Sends one call; rejects on a timeout or a broken connection. */
 export async function call(
 	method: Dispatcher.HttpMethod,
 	url: string,
@@ -50,7 +50,7 @@
 		headers,
 		body: body === undefined ? undefined : typeof body === "string" ? body : JSON.stringify(body),
 		dispatcher: options.dispatcher ?? sharedAgent,
-		signal: AbortSignal.timeout(options.patienceMs ?? DEFAULT_PATIENCE_MS),
+		signal: AbortSignal.timeout(options.patienceMs ?? DEFAULT_TIMEOUT_MS),
 	})
 	const text = await res.body.text()
 	return {
--- a/packages/standins/src/fleet/fleet.ts
+++ b/packages/standins/src/fleet/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of separate processes on loopback: the platform's stand-in, a metrics sink, executors,
- * workers, and entry instances. Used by the demo, the tests of failures, and the measurements.
+ * A fleet of separate processes on loopback: the platform stand-in, a metrics sink, executors, workers and entry
+ * instances. Used by the demo, failure tests, soaks and benchmarks.
  */
 import {mkdtempSync, rmSync, writeFileSync} from "node:fs"
 import {tmpdir} from "node:os"
@@ -16,7 +16,7 @@
 export interface FleetEntry {
 	readonly name: string
 	readonly failureDomain: string
-	/** Where callers reach it. */
+	/** The URL for callers. */
 	readonly url: string
 	process: FleetProcess
 }
@@ -27,14 +27,14 @@
 	readonly executors: readonly FleetProcess[]
 	readonly workers: readonly FleetProcess[]
 	setFaults(faults: Partial<Faults>): Promise<void>
-	/** The store's calls so far, by kind. */
+	/** The number of store calls by kind. */
 	storeCalls(): Promise<Readonly<Record<string, number>>>
 	starts(): readonly Start[]
 	/** Starts an entry instance again under its name and address. */
 	restartEntry(name: string): Promise<FleetEntry>
-	/** Cuts what a failure domain sends to the platform or to peers, or gets from peers. */
+	/** Cuts links of a failure domain; needs `hasLinks`, as `hushPlatform` and `mend` do. */
 	cut(failureDomain: string, what: readonly CutKind[]): void
-	/** Open connections of a failure domain to the platform go silent for good; new ones work. */
+	/** Drops all further data of a failure domain's open connections to the platform; new connections work. */
 	hushPlatform(failureDomain: string): void
 	mend(failureDomain: string): void
 	waitReady(): Promise<void>
@@ -45,12 +45,10 @@
 const ENTRY_BIN = scriptOf("../../../entry/dist/bin.js")
 const SHARDS = 64
 
-/** What the parts of a starting fleet share. */
-interface Assembly {
+interface LaunchContext {
 	readonly shape: FleetShape
-	/** Holds the settings of entry instances and the records of starts. */
+	/** The directory for settings of entry instances and recorded starts. */
 	readonly folder: string
-	/** The platform's port, once it listens. */
 	readonly platformPort: number
 	readonly statsdPort: number
 	readonly links: FleetLinks | undefined
@@ -59,9 +57,8 @@
 
 const urlOf = (port: number) => `http://127.0.0.1:${port}`
 
-/** Starts all targets of one kind, numbered within their failure domain. */
 function startTargets(
-	{shape, folder, platformPort, start}: Assembly,
+	{shape, folder, platformPort, start}: LaunchContext,
 	kind: "executor" | "worker",
 	perDomain: number,
 	extra: object,
@@ -80,7 +77,7 @@
 }
 
 async function startEntry(
-	{shape, folder, platformPort, statsdPort, links, start}: Assembly,
+	{shape, folder, platformPort, statsdPort, links, start}: LaunchContext,
 	name: string,
 	failureDomain: string,
 	httpPort: number,
@@ -104,12 +101,12 @@
 	return started
 }
 
-async function startEntries(assembly: Assembly): Promise<FleetEntry[]> {
+async function startEntries(context: LaunchContext): Promise<FleetEntry[]> {
 	const entries: FleetEntry[] = []
-	for (const failureDomain of assembly.shape.failureDomains) {
-		for (let index = 1; index <= assembly.shape.entriesPerDomain; index++) {
+	for (const failureDomain of context.shape.failureDomains) {
+		for (let index = 1; index <= context.shape.entriesPerDomain; index++) {
 			const name = `${failureDomain}-entry-${index}`
-			const started = await startEntry(assembly, name, failureDomain, 0)
+			const started = await startEntry(context, name, failureDomain, 0)
 			entries.push({name, failureDomain, url: urlOf(started.port), process: started})
 		}
 	}
@@ -121,7 +118,7 @@
 	readonly state: string
 }
 
-/** Says whether one entry instance is ready, sees its peers and targets; returns its shards. */
+/** Returns an entry instance's number of shards, or undefined until it is ready and sees its peers and targets. */
 async function shardsIfReady(entry: FleetEntry, peers: number, targets: number) {
 	const {instances} = await getJson<{instances: readonly InstanceLine[]}>(
 		`${entry.url}/v1/instances`,
@@ -146,11 +143,11 @@
 	return shards === SHARDS
 }
 
-async function assemble(
+async function createLaunchContext(
 	shape: FleetShape,
 	folder: string,
 	start: typeof startProcess,
-): Promise<Assembly> {
+): Promise<LaunchContext> {
 	const platformSettings = JSON.stringify(shape.platform)
 	const platform = await start("platform", scriptOf("../platform/main.js"), [platformSettings])
 	const sink = await start("statsd", scriptOf("../targets/statsd.js"), [])
@@ -161,16 +158,16 @@
 	return {shape, folder, platformPort: platform.port, statsdPort, links, start}
 }
 
-async function launch(assembly: Assembly, processes: Set<FleetProcess>): Promise<Fleet> {
-	const {shape, folder, links} = assembly
-	const platformUrl = urlOf(assembly.platformPort)
+async function launch(context: LaunchContext, processes: Set<FleetProcess>): Promise<Fleet> {
+	const {shape, folder, links} = context
+	const platformUrl = urlOf(context.platformPort)
 	const {endpoint, slotsPerExecutor: slots} = shape
-	const executors = await startTargets(assembly, "executor", shape.executorsPerDomain, {
+	const executors = await startTargets(context, "executor", shape.executorsPerDomain, {
 		endpoint,
 		slots,
 	})
-	const workers = await startTargets(assembly, "worker", shape.workersPerDomain, shape.worker)
-	const entries = await startEntries(assembly)
+	const workers = await startTargets(context, "worker", shape.workersPerDomain, shape.worker)
+	const entries = await startEntries(context)
 	return {
 		platformUrl,
 		entries,
@@ -182,7 +179,7 @@
 		async restartEntry(name) {
 			const entry = entries.find(item => item.name === name)!
 			const port = Number(new URL(entry.url).port)
-			entry.process = await startEntry(assembly, name, entry.failureDomain, port)
+			entry.process = await startEntry(context, name, entry.failureDomain, port)
 			return entry
 		},
 		cut: (failureDomain, what) => links!.cut(failureDomain, what),
@@ -201,7 +198,7 @@
 }
 
 /**
- * Starts a fleet and puts its configuration in force.
+ * Starts a fleet, applies its configuration and waits until it is ready.
  *
  * @example const fleet = await startFleet({entriesPerDomain: 1})
  */
@@ -215,7 +212,7 @@
 		return started
 	}
 	try {
-		const fleet = await launch(await assemble(shape, folder, start), processes)
+		const fleet = await launch(await createLaunchContext(shape, folder, start), processes)
 		const headers = {"if-match": "0"}
 		const put = await putJson(`${fleet.entries[0]!.url}/v1/config`, configOf(shape), headers)
 		if (put.status !== 200) throw new Error(`configuration refused: ${JSON.stringify(put.body)}`)
--- a/packages/standins/src/fleet/pair-link.ts
+++ b/packages/standins/src/fleet/pair-link.ts
@@ -1,6 +1,6 @@
 /**
- * A link from one machine to an address of another, TCP and UDP on the same port number, over the ways there and
- * back. It decides nothing: what passes, and when, is a matter of the ways.
+ * A TCP and UDP proxy, both on one port number, from one machine to an address of another. Two one-way paths decide
+ * what passes and when. Used by the simulated network and its tests.
  */
 import {createSocket, type Socket as Datagrams} from "node:dgram"
 import {connect, createServer, type Server, type Socket} from "node:net"
@@ -15,7 +15,7 @@
 	readonly port: number
 	/** Resets all open connections. */
 	reset(): void
-	/** Resets them for the side that opened them; the other hears of it over the way there, as it is. */
+	/** Resets only the end that opened them; the reset reaches the other end over the path there, if at all. */
 	resetNear(): void
 	close(): void
 }
@@ -25,7 +25,7 @@
 	readonly host: string
 	readonly there: Path
 	readonly back: Path
-	/** Looked up for each connection and datagram; none while nobody listens. */
+	/** Evaluated for each connection and datagram; undefined while nothing listens. */
 	readonly target: () => Target | undefined
 }
 
@@ -34,10 +34,10 @@
 
 type Track = (socket: Socket) => void
 
-/** Opens a link at a free port. */
+/** Opens a link on a port that is free for TCP and UDP; rejects when none is found. */
 export async function openPairLink(options: PairLinkOptions): Promise<PairLink> {
 	const sockets = new Set<Socket>()
-	const nears = new Set<Socket>()
+	const clients = new Set<Socket>()
 	const track: Track = socket => {
 		sockets.add(socket)
 		socket.setNoDelay(true)
@@ -45,9 +45,9 @@
 		socket.on("close", () => sockets.delete(socket))
 	}
 	const serve = (near: Socket) => {
-		nears.add(near)
-		near.on("close", () => nears.delete(near))
-		carry(near, options, track)
+		clients.add(near)
+		near.on("close", () => clients.delete(near))
+		forward(near, options, track)
 	}
 	const {server, datagrams, port} = await listenBoth(options.host, serve)
 	datagrams.on("message", bytes => {
@@ -62,7 +62,7 @@
 			for (const socket of sockets) socket.resetAndDestroy()
 		},
 		resetNear() {
-			for (const near of nears) near.resetAndDestroy()
+			for (const near of clients) near.resetAndDestroy()
 		},
 		close() {
 			for (const socket of sockets) socket.destroy()
@@ -72,8 +72,8 @@
 	}
 }
 
-/** Carries one connection: its set-up, what it sends and its ends are passed in order, each way. */
-function carry(near: Socket, {there, back, target}: PairLinkOptions, track: Track) {
+/** Forwards one connection: connect, data and close pass each path in order. */
+function forward(near: Socket, {there, back, target}: PairLinkOptions, track: Track) {
 	let far: Socket | undefined
 	const breakOff = () => {
 		near.resetAndDestroy()
@@ -81,18 +81,20 @@
 		outbound.close()
 		inbound.close()
 	}
-	const outbound = there.openLane(breakOff)
-	const inbound = back.openLane(breakOff)
+	const outbound = there.openStream(breakOff)
+	const inbound = back.openStream(breakOff)
 
-	function follow(from: Socket, lane: typeof outbound, to: () => Socket | undefined) {
+	function follow(from: Socket, stream: typeof outbound, to: () => Socket | undefined) {
 		track(from)
-		from.on("data", (chunk: Buffer) => lane.pass(() => void (to()?.writable && to()?.write(chunk))))
-		from.on("end", () => lane.pass(() => void to()?.end()))
+		from.on("data", (chunk: Buffer) =>
+			stream.pass(() => void (to()?.writable && to()?.write(chunk))),
+		)
+		from.on("end", () => stream.pass(() => void to()?.end()))
 		from.on("close", hadError =>
-			lane.pass(() => {
+			stream.pass(() => {
 				if (hadError) to()?.resetAndDestroy()
 				else to()?.destroySoon()
-				lane.close()
+				stream.close()
 			}),
 		)
 	}
@@ -100,7 +102,6 @@
 	follow(near, outbound, () => far)
 	outbound.pass(() => {
 		const at = target()
-		// Who has closed before it was connected has sent nothing.
 		if (near.destroyed) return
 		if (!at) return void near.resetAndDestroy()
 		far = connect({...at, allowHalfOpen: true})
--- a/packages/standins/src/leased/wire-executor.ts
+++ b/packages/standins/src/leased/wire-executor.ts
@@ -1,27 +1,24 @@
 /**
- * A stand-in of the users' executors: fences, run numbers, leases on its own steady clock, lists of
- * what runs and what ended, and the ways in which executors fail.
- *
- * It judges the product while it runs: see `violations`.
+ * A stand-in of the users' executors: fences, run numbers, leases on its own monotonic clock, lists of running and
+ * finished tasks, and injectable faults. Reports each start, end and exceeded capacity to the platform stand-in.
  */
 import type {IncomingMessage, ServerResponse} from "node:http"
 
 export interface ExecutorFaults {
-	/** Nothing is answered, and nothing done. */
+	/** Ignores all calls and answers none. */
 	mute?: boolean
-	/** Orders are done and not answered. */
+	/** Carries out orders without answering. */
 	loseAnswers?: boolean
-	/** The next so many starts are not answered, and done so much later. */
+	/** Carries out the next `count` starts late, without answering. */
 	lateStarts?: {count: number; delayMs: number}
-	/** Says of each order whether it is left unanswered and carried out so many milliseconds later. */
+	/** The delay in milliseconds after which an order is carried out without an answer; undefined for none. */
 	lateOrders?: (fence: number) => number | undefined
-	/** Tasks end as failed. */
 	failAll?: boolean
-	/** Tasks make no progress. */
+	/** New tasks make no progress and don't end by themselves. */
 	hang?: boolean
-	/** Starts are refused as by an unhealthy executor. */
+	/** Refuses starts with status 503. */
 	unhealthy?: boolean
-	/** Tasks take so many times as long. */
+	/** Factor on the run time of new tasks. */
 	slowness?: number
 }
 
@@ -31,39 +28,39 @@
 	readonly cpu: number
 	readonly startedAt: number
 	readonly workMs: number
-	/** How it ends by itself; a task without progress never does. */
-	readonly ends: string | undefined
+	/** The outcome when the work is done; undefined for a hanging task. */
+	readonly outcome: string | undefined
 	readonly cancel: () => void
 }
 
-/** What one executor tells the judge of all. */
+/** Events of one executor, for the checker of all. */
 export interface ExecutorEvents {
 	onStart(executor: string, task: string, run: number, fence: number): void
 	onEnd(executor: string, task: string, run: number, how: string): void
-	onBroken(rule: string): void
-	/** A task has crashed the executor's process. */
+	onViolation(rule: string): void
+	/** A task has crashed the executor. */
 	onCrash(executor: string): void
-	/** An order was carried out, or refused by its status. */
-	onOrder(executor: string, order: CarriedOut): void
+	/** An order was answered with `status`, refusals included. */
+	onOrder(executor: string, order: OrderResult): void
 }
 
-/** An order as the executor took it. */
-export interface CarriedOut {
+/** An order and its result. */
+export interface OrderResult {
 	readonly path: string
 	readonly fence: number
 	readonly status: number
 	readonly task: string | undefined
 	readonly run: number | undefined
-	/** How long the executor's lease goes on from here, by its own clock. */
+	/** Remaining lease in milliseconds on the executor's clock; negative once it ended. */
 	readonly leaseLeftMs: number
 }
 
-/** What the stand-in's specs say; the product hands them on unread. */
+/** The spec of a task, which the program passes through unread. */
 export interface StandInSpec {
 	readonly workMs: number
 	readonly cpu: number
 	readonly fails?: boolean
-	/** The executor that starts it dies of it. */
+	/** Crashes the executor soon after the start. */
 	readonly crashes?: boolean
 }
 
@@ -79,16 +76,15 @@
 
 const MAX_LEASE_MS = 1_000
 const STOP_MS = 5
-/** Between two looks at the lease. */
-const LEASE_LOOK_MS = 2
-/** Between the start of a task that crashes its executor and the crash; the start's answer is on its way. */
-const CRASHES_AFTER_MS = 20
-/** A room that has shrunk is told with the next beat, and counts 3 s after that. */
-const SHRUNK_COUNTS_AFTER_MS = 3_500
+const LEASE_CHECK_MS = 2
+/** Leaves time for the answer to the start. */
+const CRASH_DELAY_MS = 20
+/** A smaller capacity is announced with the next heartbeat, and enforced 3 s after that. */
+const EARLIER_CAPACITY_MS = 3_500
 
 export class WireExecutor {
 	readonly faults: ExecutorFaults = {}
-	/** Starts that were carried out. */
+	/** The number of starts carried out. */
 	starts = 0
 	private readonly clockOffset = Math.floor(Math.random() * 1e6)
 	private readonly running = new Map<string, Running>()
@@ -97,39 +93,38 @@
 	private serial = 0
 	private highestFence = 0
 	private leaseUntil = 0
-	private isGone = false
-	private roomCpu: number
-	/** Rooms that it had before, which starts may still go by until then. */
-	private earlierRooms: readonly {readonly cpu: number; readonly until: number}[] = []
-	private readonly leaseTimer = setInterval(() => this.settle(), LEASE_LOOK_MS)
+	private hasCrashed = false
+	private currentCpu: number
+	/** Earlier capacities, which starts may still rely on until the given time. */
+	private earlierCapacities: readonly {readonly cpu: number; readonly until: number}[] = []
+	private readonly leaseTimer = setInterval(() => this.settle(), LEASE_CHECK_MS)
 	private readonly waiting = new Set<() => void>()
 
 	constructor(
 		readonly id: string,
 		capacityCpu: number,
 		private readonly events: ExecutorEvents,
-		/** What its clock counts in one millisecond. */
+		/** Milliseconds that the executor's clock advances in one. */
 		private readonly clockRate = 1,
 	) {
-		this.roomCpu = capacityCpu
+		this.currentCpu = capacityCpu
 	}
 
 	capacityCpu(): number {
-		return this.roomCpu
+		return this.currentCpu
 	}
 
-	/** Its room shrinks or grows while it runs. */
 	resize(cpu: number) {
-		const until = performance.now() + SHRUNK_COUNTS_AFTER_MS
-		this.earlierRooms = [...this.earlierRooms, {cpu: this.roomCpu, until}]
-		this.roomCpu = cpu
+		const until = performance.now() + EARLIER_CAPACITY_MS
+		this.earlierCapacities = [...this.earlierCapacities, {cpu: this.currentCpu, until}]
+		this.currentCpu = cpu
 	}
 
-	/** The room that starts are judged by: the largest of those that still count. */
-	private judgedCpu(): number {
+	/** The capacity that starts are checked against: the largest of the current and recent ones. */
+	private enforcedCpu(): number {
 		const now = performance.now()
-		this.earlierRooms = this.earlierRooms.filter(({until}) => until > now)
-		return Math.max(this.roomCpu, ...this.earlierRooms.map(({cpu}) => cpu))
+		this.earlierCapacities = this.earlierCapacities.filter(({until}) => until > now)
+		return Math.max(this.currentCpu, ...this.earlierCapacities.map(({cpu}) => cpu))
 	}
 
 	clock(): number {
@@ -140,11 +135,11 @@
 		return this.running.size
 	}
 
-	/** Its process dies with all that runs there. */
+	/** Ends all runs as `crashed`, closes open holds and refuses later orders with status 503. */
 	crash() {
-		this.isGone = true
+		this.hasCrashed = true
 		clearInterval(this.leaseTimer)
-		for (const run of [...this.running.values()]) this.drop(run, "crashed")
+		for (const run of [...this.running.values()]) this.removeRun(run, "crashed")
 		for (const resolve of this.waiting) resolve()
 	}
 
@@ -157,16 +152,16 @@
 		const late = this.faults.lateStarts
 		if (req.url === "/run-start" && late && late.count > 0) {
 			late.count--
-			setTimeout(() => this.carryOut(req.url ?? "", order), late.delayMs)
+			setTimeout(() => this.execute(req.url ?? "", order), late.delayMs)
 			return
 		}
 		const lateMs = this.faults.lateOrders?.(order.fence ?? 0)
 		if (lateMs !== undefined) {
-			setTimeout(() => this.carryOut(req.url ?? "", order), lateMs)
+			setTimeout(() => this.execute(req.url ?? "", order), lateMs)
 			return
 		}
 		if (req.url === "/hold") return this.answerHold(order, res)
-		const [status, answer] = this.carryOut(req.url ?? "", order)
+		const [status, answer] = this.execute(req.url ?? "", order)
 		if (!this.faults.loseAnswers) this.answer(res, status, answer)
 	}
 
@@ -175,36 +170,36 @@
 		res.end(JSON.stringify({"clock-ms": this.clock(), ...body}))
 	}
 
-	private carryOut(path: string, order: Order): [number, object] {
-		if (this.isGone) return [503, {}]
+	private execute(path: string, order: Order): [number, object] {
+		if (this.hasCrashed) return [503, {}]
 		this.settle()
-		const carriedOut = this.obey(path, order)
-		this.tell(path, order, carriedOut[0])
-		return carriedOut
+		const result = this.apply(path, order)
+		this.report(path, order, result[0])
+		return result
 	}
 
-	private tell(path: string, {fence, task, run}: Order, status: number) {
+	private report(path: string, {fence, task, run}: Order, status: number) {
 		const leaseLeftMs = this.leaseUntil - this.clock()
 		this.events.onOrder(this.id, {path, fence, status, task, run, leaseLeftMs})
 	}
 
-	private obey(path: string, order: Order): [number, object] {
+	private apply(path: string, order: Order): [number, object] {
 		const fence = order.fence ?? 0
 		if (fence < this.highestFence) return [409, {reason: "fence"}]
 		this.highestFence = fence
 		if (path === "/run-start") return this.startTask(order)
 		if (path === "/run-stop") return this.stopTask(order)
-		if (path === "/hold") return this.renew(order)
+		if (path === "/hold") return this.applyHold(order)
 		return [404, {}]
 	}
 
-	private extend(deadlineMs: number | undefined) {
+	private extendLease(deadlineMs: number | undefined) {
 		if (deadlineMs === undefined) return
 		this.leaseUntil = Math.max(this.leaseUntil, Math.min(deadlineMs, this.clock() + MAX_LEASE_MS))
 	}
 
-	private renew(order: Order): [number, object] {
-		this.extend(order["deadline-ms"])
+	private applyHold(order: Order): [number, object] {
+		this.extendLease(order["deadline-ms"])
 		this.finished = this.finished.filter(([serial]) => serial > (order["last-seen"] ?? 0))
 		return [200, {}]
 	}
@@ -213,29 +208,33 @@
 		const {task, run} = order
 		if (this.faults.unhealthy) return [503, {}]
 		if ((order["deadline-ms"] ?? 0) <= this.clock()) return [409, {reason: "late"}]
-		this.extend(order["deadline-ms"])
+		this.extendLease(order["deadline-ms"])
 		if (this.running.get(task)?.run === run) return [200, {}]
 		if (run <= (this.lastRun.get(task) ?? 0)) return [409, {reason: "old"}]
-		this.begin(order)
+		this.startRun(order)
 		return [200, {}]
 	}
 
-	private begin({task, run, spec, fence}: Order) {
+	private startRun({task, run, spec, fence}: Order) {
 		const {workMs, cpu, fails, crashes} = JSON.parse(spec) as StandInSpec
 		this.lastRun.set(task, run)
 		this.starts++
 		const takesMs = workMs * (this.faults.slowness ?? 1)
-		const ends = fails || this.faults.failAll ? "failed" : "done"
+		const outcome = fails || this.faults.failAll ? "failed" : "done"
 		const isHanging = this.faults.hang
-		const timer = isHanging ? undefined : setTimeout(() => this.end(task, run, ends), takesMs)
+		const timer = isHanging ? undefined : setTimeout(() => this.end(task, run, outcome), takesMs)
 		const cancel = () => clearTimeout(timer)
-		const progress = {startedAt: this.clock(), workMs: takesMs, ends: isHanging ? undefined : ends}
+		const progress = {
+			startedAt: this.clock(),
+			workMs: takesMs,
+			outcome: isHanging ? undefined : outcome,
+		}
 		this.running.set(task, {task, run, cpu, ...progress, cancel})
 		this.events.onStart(this.id, task, run, fence)
-		if (crashes) setTimeout(() => this.events.onCrash(this.id), CRASHES_AFTER_MS)
+		if (crashes) setTimeout(() => this.events.onCrash(this.id), CRASH_DELAY_MS)
 		let used = 0
 		for (const running of this.running.values()) used += running.cpu
-		if (used > this.judgedCpu()) this.events.onBroken(`LIMIT at ${this.id}: ${used}`)
+		if (used > this.enforcedCpu()) this.events.onViolation(`LIMIT at ${this.id}: ${used}`)
 	}
 
 	private stopTask({task, run}: Order): [number, object] {
@@ -248,7 +247,7 @@
 		return [200, {}]
 	}
 
-	private drop(run: Running, how: string) {
+	private removeRun(run: Running, how: string) {
 		run.cancel()
 		this.running.delete(run.task)
 		this.events.onEnd(this.id, run.task, run.run, how)
@@ -257,23 +256,24 @@
 	private end(task: string, run: number, how: string) {
 		const running = this.running.get(task)
 		if (running?.run !== run) return
-		this.drop(running, how)
+		this.removeRun(running, how)
 		this.finished.push([++this.serial, task, run, how, ""])
 		for (const resolve of this.waiting) resolve()
 		this.waiting.clear()
 	}
 
-	/** Ends what is over by its own clock; timers may say so later, when the process that hosts it is busy. */
+	/** Ends runs that are over by the executor's clock; the runs' own timers may fire late in a busy process. */
 	settle() {
 		const now = this.clock()
-		for (const {task, run, startedAt, workMs, ends} of [...this.running.values()]) {
+		for (const {task, run, startedAt, workMs, outcome} of [...this.running.values()]) {
 			const doneAt = startedAt + workMs
-			if (ends !== undefined && doneAt < Math.min(now, this.leaseUntil)) this.end(task, run, ends)
+			if (outcome !== undefined && doneAt < Math.min(now, this.leaseUntil))
+				this.end(task, run, outcome)
 			else if (now > this.leaseUntil) this.end(task, run, "lapsed")
 		}
 	}
 
-	private rows() {
+	private runningRows() {
 		const now = this.clock()
 		return [...this.running.values()].map(({task, run, startedAt, workMs}) => {
 			const percent = this.faults.hang ? 0 : Math.floor(((now - startedAt) / workMs) * 100)
@@ -282,12 +282,12 @@
 	}
 
 	private async answerHold(order: Order, res: ServerResponse) {
-		const [status, refusal] = this.carryOut("/hold", order)
+		const [status, refusal] = this.execute("/hold", order)
 		if (status !== 200) return this.answer(res, status, refusal)
 		if (this.finished.length === 0) await this.nextEnd(order["wait-ms"] ?? 0)
-		if (this.isGone) return void res.destroy()
+		if (this.hasCrashed) return void res.destroy()
 		if (this.faults.mute || this.faults.loseAnswers) return
-		this.answer(res, 200, {running: this.rows(), finished: this.finished})
+		this.answer(res, 200, {running: this.runningRows(), finished: this.finished})
 	}
 
 	private nextEnd(ms: number): Promise<void> {
--- a/packages/standins/src/leased/wire-store.ts
+++ b/packages/standins/src/leased/wire-store.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of the users' key-value service: revisions, transactions, leases and waiting watches, and
- * the ways in which the service fails.
+ * A stand-in of the users' key-value service: revisions, transactions, leases, long-polling watches, and injectable
+ * faults. Part of the platform stand-in.
  */
 import type {IncomingMessage, ServerResponse} from "node:http"
 import {sleep} from "../utils/sleep.js"
@@ -24,13 +24,12 @@
 	expiresAt: number
 }
 
-/** How the service misbehaves at the moment. */
 export interface StoreFaults {
-	/** Every call gets no answer, or 503. */
+	/** `silent` leaves every call unanswered, `busy` answers 503. */
 	down?: "silent" | "busy"
-	/** Milliseconds that each answer takes longer. */
+	/** Delay of each answer in milliseconds. */
 	slowMs?: number
-	/** The next so many writes are done and not answered; their connections say nothing more. */
+	/** The number of next writes that take effect unanswered; no call on their connections is answered afterwards. */
 	loseAnswers?: number
 }
 
@@ -40,28 +39,28 @@
 	readonly remove?: readonly string[]
 }
 
-const PAGE_ITEMS = 500
-const SWEEP_MS = 50
-const MAX_ENTRIES = 32
+const MAX_PAGE_ITEMS = 500
+const EXPIRY_CHECK_MS = 50
+const MAX_TXN_ENTRIES = 32
 
 export class WireStore {
 	readonly faults: StoreFaults = {}
-	/** Hears of each write; of a removal without a value. */
+	/** Called for each write, with undefined for a removal. */
 	onWrite: (key: string, value: unknown) => void = () => undefined
-	/** Calls by path, for tests that count them. */
+	/** The number of calls by path. */
 	readonly calls = new Map<string, number>()
 	private readonly items = new Map<string, Item>()
 	private readonly leases = new Map<number, Lease>()
 	private changes: Change[] = []
-	private oldestKept = 0
+	private compactedRevision = 0
 	private revision = 0
 	private leaseSerial = 0
 	private readonly waiting = new Set<() => void>()
-	/** Connections that lost an answer. */
-	private readonly mute = new WeakSet<object>()
-	private readonly sweeper = setInterval(() => this.sweep(), SWEEP_MS)
+	/** Connections with a lost answer. */
+	private readonly mutedSockets = new WeakSet<object>()
+	private readonly expiryTimer = setInterval(() => this.expireLeases(), EXPIRY_CHECK_MS)
 
-	/** Writes as the operator or an executor would. */
+	/** Writes a key without lease, as the operator or an executor does. */
 	write(key: string, value: unknown) {
 		this.set(key, Buffer.from(JSON.stringify(value)).toString("base64"), 0)
 		this.wake()
@@ -77,15 +76,15 @@
 		return item && JSON.parse(Buffer.from(item.value, "base64").toString("utf8"))
 	}
 
-	/** Forgets what changed before now, as a compaction does. */
+	/** Drops the change history, as a compaction does; watches from before get 410. */
 	forgetHistory() {
 		this.changes = []
-		this.oldestKept = this.revision
+		this.compactedRevision = this.revision
 		this.wake()
 	}
 
 	close() {
-		clearInterval(this.sweeper)
+		clearInterval(this.expiryTimer)
 		this.wake()
 	}
 
@@ -93,7 +92,7 @@
 		const url = new URL(req.url ?? "/", "http://store")
 		const [, call = "", id = ""] = url.pathname.split("/")
 		this.calls.set(call, (this.calls.get(call) ?? 0) + 1)
-		if (this.faults.down === "silent" || this.mute.has(req.socket)) return
+		if (this.faults.down === "silent" || this.mutedSockets.has(req.socket)) return
 		if (this.faults.down === "busy") return void this.answer(res, 503, {error: "down"})
 		if (this.faults.slowMs) await sleep(this.faults.slowMs)
 		const query = url.searchParams
@@ -135,7 +134,7 @@
 		const found = [...this.items.values()]
 			.filter(({key}) => key.startsWith(prefix) && key > after)
 			.sort((a, b) => (a.key < b.key ? -1 : 1))
-		const items = found.slice(0, PAGE_ITEMS)
+		const items = found.slice(0, MAX_PAGE_ITEMS)
 		this.answer(res, 200, {
 			items,
 			"has-more": found.length > items.length,
@@ -148,7 +147,7 @@
 		const after = Number(query.get("after-rev"))
 		const until = performance.now() + Number(query.get("wait-ms"))
 		for (;;) {
-			if (after < this.oldestKept) return this.answer(res, 410, {})
+			if (after < this.compactedRevision) return this.answer(res, 410, {})
 			const seen = this.changes.filter(({rev, key}) => rev > after && key.startsWith(prefix))
 			const leftMs = until - performance.now()
 			if (seen.length > 0 || leftMs <= 0) {
@@ -164,8 +163,8 @@
 		const conditions = body["expected-rev"] ?? []
 		const puts = body.puts ?? []
 		const removed = body.remove ?? []
-		if (conditions.length + puts.length + removed.length > MAX_ENTRIES)
-			return this.answer(res, 400, {error: "over 32 entries"})
+		if (conditions.length + puts.length + removed.length > MAX_TXN_ENTRIES)
+			return this.answer(res, 400, {error: "more than 32 entries"})
 		const isMet = conditions.every(({key, rev}) => (this.items.get(key)?.rev ?? 0) === rev)
 		if (!isMet) {
 			const items = conditions.map(({key}) => this.items.get(key)).filter(Boolean)
@@ -179,7 +178,7 @@
 		this.wake()
 		if (this.faults.loseAnswers) {
 			this.faults.loseAnswers--
-			if (res.socket) this.mute.add(res.socket)
+			if (res.socket) this.mutedSockets.add(res.socket)
 			return
 		}
 		this.answer(res, 200, {rev: this.revision})
@@ -219,7 +218,7 @@
 		this.wake()
 	}
 
-	private sweep() {
+	private expireLeases() {
 		const now = performance.now()
 		for (const [id, {expiresAt}] of this.leases) if (expiresAt < now) this.endLease(id)
 	}
--- a/packages/standins/src/platform/platform.ts
+++ b/packages/standins/src/platform/platform.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's stand-in: the key-value service and the lagging instance list, over HTTP, with
- * faults that tests and experiments switch on through `PUT /faults`.
+ * The platform stand-in: the key-value service and the delayed instance list over HTTP, with faults that tests, soaks
+ * and experiments inject by `PUT /faults`.
  */
 import {Hono, type Context} from "hono"
 import type {HttpBindings} from "@hono/node-server"
@@ -10,11 +10,11 @@
 import {sleep} from "../utils/sleep.js"
 
 export interface Faults {
-	/** Requests hang until the outage ends or the client gives up; nothing takes effect. */
+	/** Calls hang until the outage ends, and only then take effect. */
 	readonly down: boolean
-	/** Added to each call, in milliseconds. */
+	/** Additional latency of each call in milliseconds. */
 	readonly delayMs: number
-	/** The share of writes that take effect and whose answer is then lost. */
+	/** The fraction of writes whose answer is lost after they took effect. */
 	readonly loseAnswers: number
 }
 
@@ -30,12 +30,12 @@
 export interface PlatformSettings {
 	readonly port: number
 	readonly seed: number
-	/** The time of a synced write, in milliseconds. */
+	/** The duration of a write in milliseconds. */
 	readonly writeMs: number
 	readonly readMs: number
-	/** How far the instance list lags, in milliseconds. */
+	/** The delay of the instance list in milliseconds. */
 	readonly listLagMs: number
-	/** After how long without a renewal an instance leaves the list, in milliseconds. */
+	/** How long an entry of the instance list lives without renewal, in milliseconds. */
 	readonly listTtlMs: number
 }
 
@@ -49,37 +49,36 @@
 })
 
 const NO_FAULTS: Faults = Object.freeze({down: false, delayMs: 0, loseAnswers: 0})
-const LEASE_TICK_MS = 100
+const TICK_MS = 100
 const MAX_WATCH_MS = 60_000
 
 type Env = {Bindings: HttpBindings}
 
-/** Creates the stand-in's HTTP application. */
 export function createPlatform(settings: PlatformSettings) {
 	const data = new KeyValueData()
 	const random = seededRandom(settings.seed)
 	const calls: Record<string, number> = {}
 	let faults = NO_FAULTS
-	let outageEnds: (() => void)[] = []
+	let outageWaiters: (() => void)[] = []
 	const app = new Hono<Env>()
 
 	const ticker = setInterval(() => {
 		if (!faults.down) data.expireLeases(Date.now())
-	}, LEASE_TICK_MS)
+	}, TICK_MS)
 	ticker.unref()
 
 	function countCall(name: string) {
 		calls[name] = (calls[name] ?? 0) + 1
 	}
 
-	async function arrive(name: string, ms: number) {
+	async function simulateCall(name: string, ms: number) {
 		countCall(name)
-		while (faults.down) await new Promise<void>(resolve => outageEnds.push(resolve))
+		while (faults.down) await new Promise<void>(resolve => outageWaiters.push(resolve))
 		const waitMs = ms + faults.delayMs
 		if (waitMs > 0) await sleep(waitMs)
 	}
 
-	/** Answers a write, or loses the answer after the write took effect. */
+	/** Answers a write that took effect, or closes the connection instead. */
 	function answerWrite(c: Context<Env>, body: object, status: 200 | 409 | 410 = 200) {
 		if (random() < faults.loseAnswers) {
 			countCall("lost answers")
@@ -89,13 +88,13 @@
 	}
 
 	app.get("/kv/*", async c => {
-		await arrive("read", settings.readMs)
+		await simulateCall("read", settings.readMs)
 		const item = data.get(decodeURIComponent(c.req.path.slice("/kv/".length)))
 		return item ? c.json(item) : c.json({}, 404)
 	})
 
 	app.get("/list", async c => {
-		await arrive("read", settings.readMs)
+		await simulateCall("read", settings.readMs)
 		return c.json(data.list(c.req.query("prefix") ?? ""))
 	})
 
@@ -105,7 +104,7 @@
 			expect?: number
 			lease?: string
 		}>()
-		await arrive("write", settings.writeMs)
+		await simulateCall("write", settings.writeMs)
 		const key = decodeURIComponent(c.req.path.slice("/kv/".length))
 		const result = data.put(key, value, expect, lease)
 		const status = result.type === "done" ? 200 : result.type === "conflict" ? 409 : 410
@@ -113,34 +112,34 @@
 	})
 
 	app.delete("/kv", async c => {
-		await arrive("write", settings.writeMs)
+		await simulateCall("write", settings.writeMs)
 		return answerWrite(c, {deleted: data.deletePrefix(c.req.query("prefix") ?? "/none")})
 	})
 
 	app.post("/leases", async c => {
 		const {ttlMs} = await c.req.json<{ttlMs: number}>()
-		await arrive("lease", settings.writeMs)
+		await simulateCall("lease", settings.writeMs)
 		return answerWrite(c, {id: data.grantLease(ttlMs, Date.now())})
 	})
 
 	app.post("/leases/:id/keepalive", async c => {
-		await arrive("lease", settings.readMs)
+		await simulateCall("lease", settings.readMs)
 		const isAlive = data.keepAlive(c.req.param("id"), Date.now())
 		return answerWrite(c, {}, isAlive ? 200 : 410)
 	})
 
 	app.delete("/leases/:id", async c => {
-		await arrive("lease", settings.writeMs)
+		await simulateCall("lease", settings.writeMs)
 		data.revoke(c.req.param("id"))
 		return answerWrite(c, {})
 	})
 
 	app.get("/watch", async c => {
-		await arrive("watch", 0)
+		await simulateCall("watch", 0)
 		const waitMs = Math.min(MAX_WATCH_MS, Number(c.req.query("waitMs") ?? 0))
 		const after = Number(c.req.query("after") ?? 0)
 		const change = await data.watch(c.req.query("prefix") ?? "", after, waitMs)
-		while (faults.down) await new Promise<void>(resolve => outageEnds.push(resolve))
+		while (faults.down) await new Promise<void>(resolve => outageWaiters.push(resolve))
 		return c.json(change)
 	})
 
@@ -149,8 +148,8 @@
 		faults = {...NO_FAULTS, ...next}
 		if (!wasDown || faults.down) return
 		data.extendLeases(Date.now())
-		const waiting = outageEnds
-		outageEnds = []
+		const waiting = outageWaiters
+		outageWaiters = []
 		for (const wake of waiting) wake()
 	})
 	addInstanceList(app, settings)
@@ -169,31 +168,31 @@
 	app.get("/calls", c => c.json(calls))
 }
 
-/** The list of instances: each renews its own line; readers see it with a lag. */
+/** Adds the instance list: instances renew their own entries, and readers see changes after `listLagMs`. */
 function addInstanceList(app: Hono<Env>, settings: PlatformSettings) {
-	const lines = new Map<string, {readonly line: ListedInstance; readonly renewedAt: number}>()
-	let shown: readonly ListedInstance[] = []
+	const entries = new Map<string, {readonly line: ListedInstance; readonly renewedAt: number}>()
+	let visible: readonly ListedInstance[] = []
 	const ticker = setInterval(() => {
 		const now = Date.now()
-		for (const [id, {renewedAt}] of lines) {
-			if (now - renewedAt > settings.listTtlMs) lines.delete(id)
+		for (const [id, {renewedAt}] of entries) {
+			if (now - renewedAt > settings.listTtlMs) entries.delete(id)
 		}
-		const present = [...lines.values()].map(({line}) => line)
-		setTimeout(() => (shown = present), settings.listLagMs).unref()
-	}, LEASE_TICK_MS)
+		const present = [...entries.values()].map(({line}) => line)
+		setTimeout(() => (visible = present), settings.listLagMs).unref()
+	}, TICK_MS)
 	ticker.unref()
 
 	app.put("/instances/:id", async c => {
 		const line = await c.req.json<ListedInstance>()
-		lines.set(c.req.param("id"), {line, renewedAt: Date.now()})
+		entries.set(c.req.param("id"), {line, renewedAt: Date.now()})
 		return c.json({})
 	})
 	app.delete("/instances/:id", c => {
-		lines.delete(c.req.param("id"))
+		entries.delete(c.req.param("id"))
 		return c.json({})
 	})
 	app.get("/instances", c => {
-		const body = JSON.stringify({instances: shown})
+		const body = JSON.stringify({instances: visible})
 		const tag = `"${digestOf(body)}"`
 		if (c.req.header("if-none-match") === tag) return c.body(null, 304, {etag: tag})
 		return c.body(body, 200, {"content-type": "application/json", etag: tag})
--- a/packages/standins/src/targets/executor.ts
+++ b/packages/standins/src/targets/executor.ts
@@ -1,13 +1,13 @@
 /**
- * An executor's stand-in: one endpoint's back end with 8 slots. It answers `busy` when they are
- * taken, says when it is leaving, and can be told to fail, hang or cut its answers short.
+ * The process of an executor stand-in: an endpoint's back end that refuses work when its slots are taken or it is
+ * leaving, and that `PUT /behavior` makes fail, slow down or break its answers.
  *
- * The payload steers a run: `{ms, fail, echo}`.
+ * The payload sets a run's duration and outcome: `{ms, fail}`.
  */
 import {Hono} from "hono"
 import type {HttpBindings} from "@hono/node-server"
 import {announce, listen, readSettings} from "../utils/server.js"
-import {openJudge} from "./judge.js"
+import {openStartLog} from "./judge.js"
 import {register} from "./registration.js"
 import {sleep} from "../utils/sleep.js"
 
@@ -24,10 +24,9 @@
 }
 
 interface Behavior {
-	/** The share of runs that fail. */
 	readonly failAll: boolean
 	readonly slowFactor: number
-	/** What is done to the answer. */
+	/** `crossed` names the previous attempt; `cut` closes the connection without an answer. */
 	readonly answer: "whole" | "truncated" | "crossed" | "cut"
 }
 
@@ -48,7 +47,7 @@
 	labels: {},
 })
 
-const judge = openJudge(settings.judge, settings.id)
+const startLog = openStartLog(settings.judge, settings.id)
 const counters = {starts: 0, busy: 0, refusedLeaving: 0, maxRunning: 0}
 let behavior: Behavior = {failAll: false, slowFactor: 1, answer: "whole"}
 let running = 0
@@ -71,7 +70,7 @@
 	counters.starts++
 	counters.maxRunning = Math.max(counters.maxRunning, running)
 	const submission = c.req.header("cottonwood-submission") ?? ""
-	judge.recordStart({submission, task: Number(c.req.header("cottonwood-task") ?? 0), attempt})
+	startLog.recordStart({submission, task: Number(c.req.header("cottonwood-task") ?? 0), attempt})
 	const payload = (await c.req.json<Payload | null>()) ?? {}
 	await sleep((payload.ms ?? 50) * behavior.slowFactor)
 	running--
--- a/packages/standins/src/targets/judge.ts
+++ b/packages/standins/src/targets/judge.ts
@@ -1,6 +1,6 @@
 /**
- * The record of starts that the proofs judge by: one line per start, appended to a file, so that
- * it outlives a killed process.
+ * Logs of task starts, one line per start appended to a file, so that they outlive a killed process. Targets write them;
+ * tests and soaks check them for repeated starts.
  */
 import {appendFileSync, existsSync, readFileSync, readdirSync} from "node:fs"
 import {join} from "node:path"
@@ -11,18 +11,18 @@
 	readonly attempt: string
 }
 
-export interface Judge {
+export interface StartLog {
 	recordStart(start: Start): void
 }
 
-/** Opens the record of one process; without a folder nothing is kept. */
-export function openJudge(folder: string, name: string): Judge {
+/** Opens the log of one process; an empty folder disables it. */
+export function openStartLog(folder: string, name: string): StartLog {
 	if (folder === "") return {recordStart: () => undefined}
 	const file = join(folder, `${name}.starts`)
 	return {recordStart: start => appendFileSync(file, `${JSON.stringify(start)}\n`)}
 }
 
-/** Reads all starts that any process recorded in the folder. */
+/** Reads the starts that all processes recorded in a folder; empty when the folder doesn't exist. */
 export function readStarts(folder: string): readonly Start[] {
 	if (!existsSync(folder)) return []
 	return readdirSync(folder)
--- a/packages/standins/src/targets/statsd.ts
+++ b/packages/standins/src/targets/statsd.ts
@@ -1,4 +1,4 @@
-/** A metrics sink: receives statsd datagrams, and answers with the sums it has seen. */
+/** The process of a metrics sink: receives statsd datagrams, and serves counters and gauges at `/metrics`. */
 import {createSocket} from "node:dgram"
 import {Hono} from "hono"
 import {announce, listen, readSettings} from "../utils/server.js"
@@ -7,7 +7,7 @@
 const counters = new Map<string, number>()
 const gauges = new Map<string, number>()
 
-function takeLine(line: string) {
+function applyLine(line: string) {
 	const match = /^([^:]+):([-+0-9.]+)\|([a-z]+)(?:\|#(.*))?$/.exec(line)
 	if (!match) return
 	const [, name, value, type] = match
@@ -16,7 +16,7 @@
 }
 
 const socket = createSocket("udp4")
-socket.on("message", message => message.toString().split("\n").forEach(takeLine))
+socket.on("message", message => message.toString().split("\n").forEach(applyLine))
 const app = new Hono()
 app.get("/metrics", c =>
 	c.json({counters: Object.fromEntries(counters), gauges: Object.fromEntries(gauges)}),
