--- a/packages/standins/src/soak/callers.ts
+++ b/packages/standins/src/soak/callers.ts
@@ -17,8 +17,8 @@
 	readonly random: () => number
 	/** Maximum sends of one id. */
 	readonly maxSends: number
-	readonly shareOfJobs: number
-	readonly shareOfTwins: number
+	readonly jobShare: number
+	readonly duplicateShare: number
 	readonly deadlineMs: number
 	readonly endpoint: string
 	readonly taskMs: number
@@ -28,8 +28,8 @@
 	submissions: 200,
 	concurrency: 24,
 	maxSends: 5,
-	shareOfJobs: 0.2,
-	shareOfTwins: 0.4,
+	jobShare: 0.2,
+	duplicateShare: 0.4,
 	deadlineMs: 6_000,
 	endpoint: "inventory",
 	taskMs: 20,
@@ -40,7 +40,7 @@
 const CALLER = "soak"
 
 function newExchange(load: CallerLoad, index: number): Exchange {
-	const isJob = load.random() < load.shareOfJobs
+	const isJob = load.random() < load.jobShare
 	const id = randomUUID()
 	const tasks = isJob ? 2 + Math.floor(load.random() * (MAX_JOB_TASKS - 1)) : 1
 	const mark = `${index}:${id}`
@@ -98,7 +98,7 @@
 	const body = bodyOf(exchange, load, index, 1 + load.random() * load.taskMs)
 	while (exchange.sent < load.maxSends) {
 		const sends = [sendOnce(fleet, exchange, body, load)]
-		if (load.random() < load.shareOfTwins) sends.push(sendOnce(fleet, exchange, body, load))
+		if (load.random() < load.duplicateShare) sends.push(sendOnce(fleet, exchange, body, load))
 		await Promise.all(sends)
 		// Half of the answered callers resend, to check that the answer is repeated.
 		if (isFinal(exchange.answers.at(-1)) && load.random() < 0.5) break
--- a/packages/standins/src/soak/connection-faults.ts
+++ b/packages/standins/src/soak/connection-faults.ts
@@ -4,7 +4,7 @@
  */
 import {routesFor} from "../leased/platform.js"
 import {pick, seededRandom} from "../utils/random.js"
-import {planRow, type PlannedFaultOf} from "./fault-row.js"
+import {planFaultsOf, type PlannedFaultOf} from "./fault-plan.js"
 import type {LeasedWorld} from "./leased-faults.js"
 import {sleep} from "../utils/sleep.js"
 
@@ -20,12 +20,12 @@
 export type PlannedConnectionFault = PlannedFaultOf<ConnectionFault>
 
 const PLAN_SEED = 3_000_017
-const LONGEST_PAUSE_MS = 5_000
-const MOST_VERSIONS = 4
-const LONGEST_VERSION_PAUSE_MS = 300
+const MAX_PAUSE_MS = 5_000
+const MAX_VERSIONS = 4
+const MAX_VERSION_PAUSE_MS = 300
 
 export const planConnectionFaults = (seed: number, count: number) =>
-	planRow(seed + PLAN_SEED, CONNECTION_FAULTS, count, LONGEST_PAUSE_MS)
+	planFaultsOf(seed + PLAN_SEED, CONNECTION_FAULTS, count, MAX_PAUSE_MS)
 
 export const isConnectionFault = (fault: {
 	readonly name: string
@@ -43,10 +43,10 @@
 export const probePrefixOf = (version: number) => `/version-${version}/`
 
 async function putVersions(world: LeasedWorld, random: () => number) {
-	const count = 2 + Math.floor(random() * (MOST_VERSIONS - 1))
+	const count = 2 + Math.floor(random() * (MAX_VERSIONS - 1))
 	for (let at = 0; at < count; at++) {
 		putVersion(world)
-		await sleep(random() * LONGEST_VERSION_PAUSE_MS)
+		await sleep(random() * MAX_VERSION_PAUSE_MS)
 	}
 }
 
@@ -70,7 +70,7 @@
 			return pick(executorLinks, random).hush()
 		case "silence all connections":
 			for (const link of [...storeLinks, ...executorLinks]) link.hush()
-			world.hushPeers()
+			world.silencePeers()
 			break
 		case "versions in quick succession":
 			break
--- a/packages/standins/src/soak/fault-row.ts
+++ b/packages/standins/src/soak/fault-plan.ts
@@ -14,16 +14,16 @@
 const SEED_RANGE = 2 ** 31
 
 /** Draws `count` faults, each at most `longestPauseMs` after the one before. */
-export function planRow<Name extends string>(
+export function planFaultsOf<Name extends string>(
 	seed: number,
 	names: readonly Name[],
 	count: number,
-	longestPauseMs: number,
+	maxPauseMs: number,
 ): readonly PlannedFaultOf<Name>[] {
 	const random = seededRandom(seed)
 	let atMs = 0
 	return Array.from({length: count}, () => {
-		atMs += Math.round(random() * longestPauseMs)
+		atMs += Math.round(random() * maxPauseMs)
 		const name = pick(names, random)
 		return {atMs, name, seed: Math.floor(random() * SEED_RANGE)}
 	})
--- a/packages/standins/src/soak/faults.ts
+++ b/packages/standins/src/soak/faults.ts
@@ -36,7 +36,7 @@
 	readonly random: () => number
 	readonly faults: readonly FaultName[]
 	readonly rounds: number
-	readonly lastsMs: number
+	readonly durationMs: number
 	readonly pauseMs: number
 	readonly onFault: (text: string) => void
 }
@@ -58,7 +58,7 @@
 
 /** Injects one fault and resolves once it is removed. */
 export async function runFault(fleet: Fleet, name: FaultName, plan: FaultPlan): Promise<void> {
-	const {random, lastsMs} = plan
+	const {random, durationMs} = plan
 	const entry = pick(fleet.entries, random)
 	plan.onFault(`${name} (${entry.name})`)
 	switch (name) {
@@ -67,11 +67,11 @@
 		case "stop entry":
 			return replace(fleet, entry, "SIGTERM")
 		case "freeze entry":
-			return freeze(entry.process, lastsMs)
+			return freeze(entry.process, durationMs)
 		case "freeze worker":
-			return freeze(pick(fleet.workers, random), lastsMs)
+			return freeze(pick(fleet.workers, random), durationMs)
 		case "freeze executor":
-			return freeze(pick(fleet.executors, random), lastsMs)
+			return freeze(pick(fleet.executors, random), durationMs)
 		case "store down":
 		case "store loses answers":
 		case "store slow": {
@@ -81,7 +81,7 @@
 				"store slow": {delayMs: SLOW_MS},
 			}
 			await fleet.setFaults(faults[name])
-			await sleep(lastsMs)
+			await sleep(durationMs)
 			return fleet.setFaults({})
 		}
 		case "cut from platform":
@@ -93,7 +93,7 @@
 				"cut from peers": "from peers",
 			} as const
 			fleet.cut(entry.failureDomain, [kinds[name]])
-			await sleep(lastsMs)
+			await sleep(durationMs)
 			return fleet.mend(entry.failureDomain)
 		}
 	}
--- a/packages/standins/src/soak/leased-callers.ts
+++ b/packages/standins/src/soak/leased-callers.ts
@@ -21,8 +21,8 @@
 	/** New jobs are submitted while this returns true. */
 	readonly isNeeded: () => boolean
 	readonly callers: number
-	readonly shareKept: number
-	readonly shareCancelled: number
+	readonly keptShare: number
+	readonly cancelledShare: number
 }
 
 /** Contract delay before the same id is resubmitted after silence, 502 or 504. */
@@ -71,7 +71,7 @@
 ) {
 	const {random} = load
 	while (load.isNeeded()) {
-		const isKept = random() < load.shareKept
+		const isKept = random() < load.keptShare
 		const tasks = 1 + Math.floor(random() * MAX_TASKS)
 		const job: CalledJob = {
 			id: newId(),
@@ -83,7 +83,7 @@
 		}
 		jobs.push(job)
 		await submit(fleet, job, 10 + random() * (isKept ? MAX_KEPT_WORK_MS : MAX_WORK_MS), load)
-		if (isKept && random() < load.shareCancelled) await cancel(fleet, job, random)
+		if (isKept && random() < load.cancelledShare) await cancel(fleet, job, random)
 		await sleep(PAUSE_MS * random())
 	}
 }
@@ -118,8 +118,12 @@
 }
 
 /** Polls the states of accepted kept jobs until all have ended or the time is over. */
-export async function untilEnded(fleet: EdgeFleet, jobs: readonly CalledJob[], patienceMs: number) {
-	const until = performance.now() + patienceMs
+export async function waitUntilEnded(
+	fleet: EdgeFleet,
+	jobs: readonly CalledJob[],
+	timeoutMs: number,
+) {
+	const until = performance.now() + timeoutMs
 	const open = new Set(jobs.filter(job => job.isKept && job.statuses.includes(200)))
 	while (open.size > 0 && performance.now() < until) {
 		for (const job of open) {
--- a/packages/standins/src/soak/leased-faults.ts
+++ b/packages/standins/src/soak/leased-faults.ts
@@ -42,11 +42,11 @@
 	readonly storeLinks: ReadonlyMap<string, Link>
 	readonly random: () => number
 	/** Duration of a lasting fault. */
-	readonly lastsMs: number
+	readonly durationMs: number
 	/** Whether a fault that ends an instance waits until the restarted instance is ready. */
 	readonly waitsForReadiness: boolean
 	/** Silences all connections between instances that run through links. */
-	readonly hushPeers: () => void
+	readonly silencePeers: () => void
 	/** Version of the newest configuration. */
 	configVersion: number
 }
@@ -60,21 +60,21 @@
 const UNANSWERED_SHARE = 0.3
 const UNANSWERED_LATE_MS = 4_000
 /** Duration factor, so that handovers happen during the fault. */
-const UNANSWERED_LASTS = 4
+const UNANSWERED_DURATION_FACTOR = 4
 
 /** Newest process of each instance, by name. */
 export const newestEdges = ({edges}: EdgeFleet): ReadonlyMap<string, Edge> =>
 	new Map(edges.map(edge => [edge.name, edge]))
 
 /** Returns the newest process of each instance that is still running. */
-export function livingEdges(fleet: EdgeFleet): readonly Edge[] {
+export function runningEdges(fleet: EdgeFleet): readonly Edge[] {
 	return [...newestEdges(fleet).values()].filter(
 		({child}) => child.exitCode === null && !child.signalCode,
 	)
 }
 
 /** Processes that are being replaced. A second fault may signal them again but starts no second replacement. */
-const replaced = new WeakSet<Edge>()
+const replacing = new WeakSet<Edge>()
 
 /** Ends an instance with the signal and restarts it once. */
 export async function replace(
@@ -83,15 +83,15 @@
 	signal: "SIGKILL" | "SIGTERM",
 ) {
 	edge.child.kill(signal)
-	if (replaced.has(edge)) return
-	replaced.add(edge)
+	if (replacing.has(edge)) return
+	replacing.add(edge)
 	await edge.exited
 	await (waitsForReadiness ? fleet.restart(edge) : fleet.relaunch(edge))
 }
 
-async function whileLasting({lastsMs}: LeasedWorld, begin: () => void, end: () => void) {
+async function applyFor({durationMs}: LeasedWorld, begin: () => void, end: () => void) {
 	begin()
-	await sleep(lastsMs)
+	await sleep(durationMs)
 	end()
 }
 
@@ -102,11 +102,11 @@
 		case "store busy": {
 			const how = name === "store down" ? "silent" : "busy"
 			const begin = () => void (faults.down = how)
-			return whileLasting(world, begin, () => void (faults.down = undefined))
+			return applyFor(world, begin, () => void (faults.down = undefined))
 		}
 		case "store slow": {
 			const begin = () => void (faults.slowMs = SLOW_STORE_MS)
-			return whileLasting(world, begin, () => void (faults.slowMs = undefined))
+			return applyFor(world, begin, () => void (faults.slowMs = undefined))
 		}
 		case "store loses answers":
 			return void (faults.loseAnswers = LOST_WRITES)
@@ -124,20 +124,20 @@
 			return void (faults.lateStarts = {count: LATE_STARTS, delayMs: LATE_MS})
 		case "executor fails all": {
 			const begin = () => void (faults.failAll = true)
-			return whileLasting(world, begin, () => void (faults.failAll = false))
+			return applyFor(world, begin, () => void (faults.failAll = false))
 		}
 		default: {
 			const begin = () => void (faults.hang = true)
-			return whileLasting(world, begin, () => void (faults.hang = false))
+			return applyFor(world, begin, () => void (faults.hang = false))
 		}
 	}
 }
 
-async function leaveUnanswered({platform, random, lastsMs}: LeasedWorld) {
+async function leaveUnanswered({platform, random, durationMs}: LeasedWorld) {
 	const lateOrders = () =>
 		random() < UNANSWERED_SHARE ? LATE_MS + random() * UNANSWERED_LATE_MS : undefined
 	for (const {executor} of platform.executors) executor.faults.lateOrders = lateOrders
-	await sleep(lastsMs * UNANSWERED_LASTS)
+	await sleep(durationMs * UNANSWERED_DURATION_FACTOR)
 	for (const {executor} of platform.executors) executor.faults.lateOrders = undefined
 }
 
@@ -148,7 +148,7 @@
 		else if (name === "slow executor link") link.delay(SLOW_LINK_MS)
 		else link.cut()
 	}
-	return whileLasting(world, begin, () => link.mend())
+	return applyFor(world, begin, () => link.mend())
 }
 
 /** Injects one fault, reports its name and place, and resolves once it is removed. */
@@ -158,7 +158,7 @@
 	onFault: (text: string) => void,
 ): Promise<void> {
 	const {platform, fleet, random, executorLinks, storeLinks} = world
-	const living = livingEdges(fleet)
+	const living = runningEdges(fleet)
 	const edge = pick(living, random)
 	const hosted = pick(platform.executors, random)
 	const executorLink = pick([...executorLinks.values()], random)
@@ -173,7 +173,7 @@
 			return replace(world, edge, name === "kill instance" ? "SIGKILL" : "SIGTERM")
 		case "freeze instance":
 			if (!edge) return
-			return whileLasting(
+			return applyFor(
 				world,
 				() => void edge.child.kill("SIGSTOP"),
 				() => void edge.child.kill("SIGCONT"),
--- a/packages/standins/src/soak/leased-soak.ts
+++ b/packages/standins/src/soak/leased-soak.ts
@@ -7,7 +7,7 @@
 import {startLeasedPlatform, type LeasedPlatform} from "../leased/platform.js"
 import {seededRandom} from "../utils/random.js"
 import {planConnectionFaults, runConnectionFault} from "./connection-faults.js"
-import {runLeasedCallers, untilEnded, type CalledJob} from "./leased-callers.js"
+import {runLeasedCallers, waitUntilEnded, type CalledJob} from "./leased-callers.js"
 import {violationsOf} from "./leased-verdict.js"
 import {checkOperators, planMachineFaults, runMachineFault, SUSPENDABLE} from "./machine-faults.js"
 import {LEASED_FAULTS, runLeasedFault, type LeasedFault, type LeasedWorld} from "./leased-faults.js"
@@ -83,28 +83,28 @@
 		storeAddressOf,
 		nodeArgs: ["--import", SUSPENDABLE],
 	})
-	const {faultMs: lastsMs} = plan
+	const {faultMs: durationMs} = plan
 	const links = {executorLinks, storeLinks}
 	return {
 		platform,
 		fleet,
 		...links,
 		random,
-		lastsMs,
-		hushPeers: () => undefined,
+		durationMs,
+		silencePeers: () => undefined,
 		waitsForReadiness: true,
 		configVersion: 1,
 	}
 }
 
 async function runFaults(world: LeasedWorld, {faults, count, onFault}: LeasedSoakPlan) {
-	const underWay: Promise<void>[] = []
+	const pending: Promise<void>[] = []
 	for (let at = 0; at < count; at++) {
 		const name = faults[Math.floor(world.random() * faults.length)] as LeasedFault
-		underWay.push(runLeasedFault(world, name, onFault))
+		pending.push(runLeasedFault(world, name, onFault))
 		await sleep(world.random() * PAUSE_MS)
 	}
-	await Promise.all(underWay)
+	await Promise.all(pending)
 }
 
 async function runConnectionFaults(
@@ -123,15 +123,15 @@
 	{seed, machineFaults, onFault}: LeasedSoakPlan,
 ) {
 	const began = performance.now()
-	const underWay: Promise<void>[] = []
+	const pending: Promise<void>[] = []
 	for (const fault of planMachineFaults(seed, machineFaults)) {
 		await sleep(began + fault.atMs - performance.now())
-		underWay.push(runMachineFault(world, fault, onFault))
+		pending.push(runMachineFault(world, fault, onFault))
 	}
-	await Promise.all(underWay)
+	await Promise.all(pending)
 }
 
-function judge(
+function createVerdict(
 	jobs: readonly CalledJob[],
 	platform: LeasedPlatform,
 	behind: readonly string[],
@@ -176,12 +176,12 @@
 			random: seededRandom(plan.seed + 1_000_003),
 			isNeeded: () => isNeeded,
 			callers: plan.callers,
-			shareKept: 0.4,
-			shareCancelled: 0.1,
+			keptShare: 0.4,
+			cancelledShare: 0.1,
 		})
 		const behind = await checked
-		await untilEnded(world.fleet, jobs, FINISH_MS)
-		return judge(jobs, world.platform, behind)
+		await waitUntilEnded(world.fleet, jobs, FINISH_MS)
+		return createVerdict(jobs, world.platform, behind)
 	} finally {
 		await closeWorld(world)
 	}
--- a/packages/standins/src/soak/leased-verdict.ts
+++ b/packages/standins/src/soak/leased-verdict.ts
@@ -13,8 +13,8 @@
 	const found: string[] = []
 	const starts = taskNames(job).map(platform.startsOf)
 	const dones = taskNames(job).map(platform.donesOf)
-	const isRefusedAlways = statuses.length > 0 && statuses.every(status => status === 503)
-	if (isRefusedAlways && starts.some(count => count > 0))
+	const isAlwaysRefused = statuses.length > 0 && statuses.every(status => status === 503)
+	if (isAlwaysRefused && starts.some(count => count > 0))
 		found.push(`REFUSED: ${id} was refused each time, and started`)
 	if (state === "completed" && dones.some(count => count === 0))
 		found.push(`MIXED: ${id} is shown as completed, and a task never ended so`)
--- a/packages/standins/src/soak/machine-faults.ts
+++ b/packages/standins/src/soak/machine-faults.ts
@@ -5,8 +5,8 @@
 import {handIn} from "../leased/edges.js"
 import {pick, seededRandom} from "../utils/random.js"
 import {checkConfiguration} from "./configuration-check.js"
-import {planRow, type PlannedFaultOf} from "./fault-row.js"
-import {livingEdges, type LeasedWorld} from "./leased-faults.js"
+import {planFaultsOf, type PlannedFaultOf} from "./fault-plan.js"
+import {runningEdges, type LeasedWorld} from "./leased-faults.js"
 import {sleep} from "../utils/sleep.js"
 
 export const MACHINE_FAULTS = Object.freeze([
@@ -22,52 +22,53 @@
 export const SUSPENDABLE = new URL("../leased/suspendable.js", import.meta.url).href
 
 const PLAN_SEED = 4_000_037
-const LONGEST_PAUSE_MS = 5_000
-const SHORTEST_MS = 500
-const LONGEST_MS = 4_000
+const MAX_PAUSE_MS = 5_000
+const MIN_DURATION_MS = 500
+const MAX_DURATION_MS = 4_000
 /** Remaining CPU of a shrunk executor, enough for one task of the callers. */
 const SHRUNK_CPU = 30_000
-const ROOM_CPU = 64_000
-const SHARE_SHRUNK = 0.4
-const MOST_SUSPENSIONS = 3
-const SUSPENSION_APART_MS = 900
+const FULL_CPU = 64_000
+const SHRUNK_SHARE = 0.4
+const MAX_SUSPENSIONS = 3
+const SUSPENSION_INTERVAL_MS = 900
 const CRASHING_JOBS = 2
 /** Contract limit: three crashed executors, then two more starts. */
-const MOST_CRASHING_STARTS = 5
-const HEARD_MS = 2_500
+const MAX_CRASHING_STARTS = 5
+const PROPAGATION_MS = 2_500
 const PROBES = 6
 
-const lasting = (random: () => number) => SHORTEST_MS + random() * (LONGEST_MS - SHORTEST_MS)
+const drawDurationMs = (random: () => number) =>
+	MIN_DURATION_MS + random() * (MAX_DURATION_MS - MIN_DURATION_MS)
 const evacuationKey = (domain: string) => `op/evacuate/${domain}`
 const domainsOf = ({platform}: LeasedWorld) => [
 	...new Set(platform.executors.map(({failureDomain}) => failureDomain)),
 ]
 
 export const planMachineFaults = (seed: number, count: number) =>
-	planRow(seed + PLAN_SEED, MACHINE_FAULTS, count, LONGEST_PAUSE_MS)
+	planFaultsOf(seed + PLAN_SEED, MACHINE_FAULTS, count, MAX_PAUSE_MS)
 
 export const isMachineFault = (fault: {readonly name: string}): fault is PlannedMachineFault =>
 	(MACHINE_FAULTS as readonly string[]).includes(fault.name)
 
-async function emptyDomain({platform}: LeasedWorld, domain: string, random: () => number) {
+async function evacuateDomain({platform}: LeasedWorld, domain: string, random: () => number) {
 	platform.store.write(evacuationKey(domain), {})
-	await sleep(lasting(random))
+	await sleep(drawDurationMs(random))
 	platform.store.remove(evacuationKey(domain))
 }
 
-async function shrink({platform}: LeasedWorld, random: () => number) {
-	const shrunk = platform.executors.filter(() => random() < SHARE_SHRUNK)
+async function shrinkExecutors({platform}: LeasedWorld, random: () => number) {
+	const shrunk = platform.executors.filter(() => random() < SHRUNK_SHARE)
 	for (const hosted of shrunk) platform.resize(hosted, SHRUNK_CPU)
-	await sleep(lasting(random))
-	for (const hosted of shrunk) platform.resize(hosted, ROOM_CPU)
+	await sleep(drawDurationMs(random))
+	for (const hosted of shrunk) platform.resize(hosted, FULL_CPU)
 }
 
-async function suspend(world: LeasedWorld, random: () => number) {
-	const edge = pick(livingEdges(world.fleet), random)
-	const times = 1 + Math.floor(random() * MOST_SUSPENSIONS)
+async function suspendInstance(world: LeasedWorld, random: () => number) {
+	const edge = pick(runningEdges(world.fleet), random)
+	const times = 1 + Math.floor(random() * MAX_SUSPENSIONS)
 	for (let at = 0; at < times; at++) {
 		edge?.child.kill("SIGUSR2")
-		await sleep(SUSPENSION_APART_MS)
+		await sleep(SUSPENSION_INTERVAL_MS)
 	}
 }
 
@@ -77,7 +78,7 @@
 async function crashExecutors(world: LeasedWorld, seed: number, random: () => number) {
 	const spec = {workMs: 300, crashes: true}
 	const calls = Array.from({length: CRASHING_JOBS}, (_, at) => {
-		const edge = pick(livingEdges(world.fleet), random)
+		const edge = pick(runningEdges(world.fleet), random)
 		return edge && handIn(edge, idOf(seed, at), {spec}).catch(() => undefined)
 	})
 	await Promise.all(calls)
@@ -93,11 +94,11 @@
 	onFault(name)
 	switch (name) {
 		case "empty failure domain":
-			return emptyDomain(world, pick(domainsOf(world), random), random)
+			return evacuateDomain(world, pick(domainsOf(world), random), random)
 		case "shrink executors":
-			return shrink(world, random)
+			return shrinkExecutors(world, random)
 		case "suspend instance":
-			return suspend(world, random)
+			return suspendInstance(world, random)
 		case "tasks that crash executors":
 			return crashExecutors(world, seed, random)
 	}
@@ -115,11 +116,11 @@
 	const behind = await checkConfiguration(world)
 	if (machineFaults === 0) return behind
 	const late = await checkEvacuation(world)
-	return [...behind, ...late, ...crashedTooOften(world, planMachineFaults(seed, machineFaults))]
+	return [...behind, ...late, ...checkCrashingStarts(world, planMachineFaults(seed, machineFaults))]
 }
 
 /** Returns a violation for each crashing task that was started more often than the contract allows. */
-function crashedTooOften(
+function checkCrashingStarts(
 	{platform}: LeasedWorld,
 	faults: readonly PlannedMachineFault[],
 ): readonly string[] {
@@ -128,7 +129,7 @@
 		Array.from({length: CRASHING_JOBS}, (_, at) => `${idOf(seed, at)}.0.0.0`),
 	)
 	return tasks
-		.filter(task => platform.startsOf(task) > MOST_CRASHING_STARTS)
+		.filter(task => platform.startsOf(task) > MAX_CRASHING_STARTS)
 		.map(task => `BUDGET: ${task} was started ${platform.startsOf(task)} times`)
 }
 
@@ -141,9 +142,9 @@
 			.filter(({failureDomain}) => failureDomain === domain)
 			.reduce((sum, {executor}) => sum + executor.starts, 0)
 	platform.store.write(evacuationKey(domain), {})
-	await sleep(HEARD_MS)
+	await sleep(PROPAGATION_MS)
 	const before = startsThere()
-	const edges = livingEdges(world.fleet)
+	const edges = runningEdges(world.fleet)
 	const probes = Array.from({length: PROBES}, (_, at) => {
 		const edge = edges[at % edges.length]
 		return edge && handIn(edge, idOf(1, at + CRASHING_JOBS)).catch(() => undefined)
@@ -151,5 +152,5 @@
 	await Promise.all(probes)
 	const later = startsThere() - before
 	platform.store.remove(evacuationKey(domain))
-	return later > 0 ? [`EVAC: ${later} starts in ${domain} after ${HEARD_MS} ms`] : []
+	return later > 0 ? [`EVAC: ${later} starts in ${domain} after ${PROPAGATION_MS} ms`] : []
 }
--- a/packages/standins/src/soak/rough-callers.ts
+++ b/packages/standins/src/soak/rough-callers.ts
@@ -9,7 +9,7 @@
 import type {RoughWorld} from "./rough-world.js"
 import {sleep} from "../utils/sleep.js"
 
-interface Wish {
+interface JobPlan {
 	readonly workMs: number
 	/** How long the caller waits. */
 	readonly deadlineMs: number
@@ -18,7 +18,7 @@
 }
 
 export interface ReturnedJob extends CalledJob {
-	readonly wish: Wish
+	readonly wish: JobPlan
 	/** Time, instance, HTTP status and duration of each try. */
 	readonly tries: {readonly at: string; readonly instance: string; status: number; tookMs: number}[]
 }
@@ -28,7 +28,7 @@
 	readonly callers: number
 	/** New jobs are submitted while this returns true. */
 	readonly isNeeded: () => boolean
-	readonly shareKept: number
+	readonly keptShare: number
 	/** Share of jobs whose caller closes the connection when it stops waiting. */
 	readonly shareClosing: number
 }
@@ -37,22 +37,22 @@
 const RESUBMIT_MS = 1_300
 /** Tries of one job, and tries once no more jobs are needed. */
 const MAX_TRIES = 12
-const LAST_TRIES = 3
+const MAX_FINAL_TRIES = 3
 const MAX_TASKS = 4
 /** CPU of a task, so that the callers together use most of the executors' capacity. */
 const TASK_CPU = 2_000
-const LONGEST_PAUSE_MS = 150
+const MAX_PAUSE_MS = 150
 /** Share of jobs that last as long as a takeover. */
-const SHARE_LONG = 0.5
-const LEAST_LONG_MS = 500
-const MOST_LONG_MS = 3_000
-const LEAST_SHORT_MS = 20
-const MOST_SHORT_MS = 400
+const LONG_SHARE = 0.5
+const MIN_LONG_MS = 500
+const MAX_LONG_MS = 3_000
+const MIN_SHORT_MS = 20
+const MAX_SHORT_MS = 400
 /** Share of jobs with a short deadline. */
-const SHARE_HASTY = 0.35
-const HASTY_MS = 1_500
-const PATIENT_MS = [4_000, 10_000] as const
-const LEAST_ESTIMATE_MS = 500
+const SHORT_DEADLINE_SHARE = 0.35
+const SHORT_DEADLINE_MS = 1_500
+const LONG_DEADLINE_RANGE_MS = [4_000, 10_000] as const
+const MIN_ESTIMATE_MS = 500
 
 const between = (least: number, most: number, random: () => number) =>
 	least + random() * (most - least)
@@ -61,13 +61,15 @@
 const idOf = (caller: number, serial: number) =>
 	[caller, serial].map(part => part.toString(16).padStart(8, "0")).join("")
 
-function drawWish(random: () => number, shareClosing: number): Wish {
-	const isLong = random() < SHARE_LONG
-	const isHasty = random() < SHARE_HASTY
+function drawJobPlan(random: () => number, shareClosing: number): JobPlan {
+	const isLong = random() < LONG_SHARE
+	const hasShortDeadline = random() < SHORT_DEADLINE_SHARE
 	const workMs = isLong
-		? between(LEAST_LONG_MS, isHasty ? HASTY_MS : MOST_LONG_MS, random)
-		: between(LEAST_SHORT_MS, MOST_SHORT_MS, random)
-	const deadlineMs = isHasty ? HASTY_MS : Math.round(between(...PATIENT_MS, random))
+		? between(MIN_LONG_MS, hasShortDeadline ? SHORT_DEADLINE_MS : MAX_LONG_MS, random)
+		: between(MIN_SHORT_MS, MAX_SHORT_MS, random)
+	const deadlineMs = hasShortDeadline
+		? SHORT_DEADLINE_MS
+		: Math.round(between(...LONG_DEADLINE_RANGE_MS, random))
 	return {workMs, deadlineMs, closes: random() < shareClosing}
 }
 
@@ -78,7 +80,7 @@
 	const answer = handIn(edge, job.id, {
 		count: job.tasks,
 		cpu: TASK_CPU,
-		estimateMs: Math.round(Math.max(LEAST_ESTIMATE_MS, wish.workMs)),
+		estimateMs: Math.round(Math.max(MIN_ESTIMATE_MS, wish.workMs)),
 		deadlineMs: wish.deadlineMs,
 		spec: {workMs: wish.workMs},
 		body: {"best-effort": !job.isKept},
@@ -108,7 +110,7 @@
 	random: () => number,
 	isNeeded: () => boolean,
 ) {
-	for (let tries = 0; tries < (isNeeded() ? MAX_TRIES : LAST_TRIES); tries++) {
+	for (let tries = 0; tries < (isNeeded() ? MAX_TRIES : MAX_FINAL_TRIES); tries++) {
 		const edges = [...newestEdges(world.fleet).values()]
 		const edge = edges[Math.floor(random() * edges.length)] as Edge
 		const began = performance.now()
@@ -129,14 +131,14 @@
 	const random = seededRandom(load.seed + at)
 	for (let serial = 0; load.isNeeded(); serial++) {
 		const id = idOf(at, serial)
-		const isKept = random() < load.shareKept
+		const isKept = random() < load.keptShare
 		const tasks = 1 + Math.floor(random() * MAX_TASKS)
-		const wish = drawWish(random, load.shareClosing)
+		const wish = drawJobPlan(random, load.shareClosing)
 		const answers = {statuses: [], tries: [], state: undefined, isCancelAsked: false}
 		const job: ReturnedJob = {id, tasks, isKept, wish, ...answers}
 		jobs.push(job)
 		await submit(world, job, random, load.isNeeded)
-		await sleep(LONGEST_PAUSE_MS * random())
+		await sleep(MAX_PAUSE_MS * random())
 	}
 }
 
--- a/packages/standins/src/soak/rough-record.ts
+++ b/packages/standins/src/soak/rough-record.ts
@@ -7,12 +7,12 @@
 
 export type RecordLine = Readonly<Record<string, unknown>>
 
-export interface KeptRun {
+export interface RunRecords {
 	readonly verdict: RecordLine & {readonly seed: number}
 	/** Start and end of each fault. */
 	readonly faults: readonly RecordLine[]
 	/** Records of the executors and the store. */
-	readonly judged: readonly RecordLine[]
+	readonly platformRecords: readonly RecordLine[]
 	readonly jobs: readonly object[]
 	readonly edges: readonly Edge[]
 }
@@ -21,12 +21,15 @@
 	lines.map(line => `${JSON.stringify(line)}\n`).join("")
 
 /** Writes a run's records, one log file per instance process, and returns the folder's path. */
-export function keepRun(folder: string, {verdict, faults, judged, jobs, edges}: KeptRun): string {
+export function saveRun(
+	folder: string,
+	{verdict, faults, platformRecords, jobs, edges}: RunRecords,
+): string {
 	const path = join(folder, `seed-${verdict.seed}-${new Date().toISOString().replaceAll(":", "")}`)
 	mkdirSync(path, {recursive: true})
 	writeFileSync(join(path, "verdict.json"), JSON.stringify(verdict, undefined, "\t"))
 	writeFileSync(join(path, "faults.jsonl"), toLines(faults))
-	writeFileSync(join(path, "judge.jsonl"), toLines(judged))
+	writeFileSync(join(path, "judge.jsonl"), toLines(platformRecords))
 	writeFileSync(join(path, "jobs.jsonl"), toLines(jobs))
 	const lives = new Map<string, number>()
 	for (const {name, lines} of edges) {
--- a/packages/standins/src/soak/rough-schedule.ts
+++ b/packages/standins/src/soak/rough-schedule.ts
@@ -13,9 +13,9 @@
 }
 
 /** Share of rough faults; the others are platform faults. */
-const SHARE_ROUGH = 0.75
+const ROUGH_SHARE = 0.75
 /** Longest pause between two faults, much shorter than a fault so that faults overlap. */
-const LONGEST_PAUSE_MS = 1_300
+const MAX_PAUSE_MS = 1_300
 const SEED_RANGE = 2 ** 31
 
 /** Draws `count` faults, only of the names in `only` unless that is empty. */
@@ -30,10 +30,10 @@
 	const single = LEASED_FAULTS.filter(isWanted)
 	let atMs = 0
 	return Array.from({length: count}, () => {
-		const isRough = single.length === 0 || (rough.length > 0 && random() < SHARE_ROUGH)
+		const isRough = single.length === 0 || (rough.length > 0 && random() < ROUGH_SHARE)
 		const names = isRough ? rough : single
 		const name = names[Math.floor(random() * names.length)] as RoughFault | LeasedFault
-		atMs += Math.round(random() * LONGEST_PAUSE_MS)
+		atMs += Math.round(random() * MAX_PAUSE_MS)
 		return {atMs, name, seed: Math.floor(random() * SEED_RANGE)}
 	})
 }
--- a/packages/standins/src/soak/rough-soak.ts
+++ b/packages/standins/src/soak/rough-soak.ts
@@ -5,7 +5,7 @@
 import {monitorEventLoopDelay} from "node:perf_hooks"
 import {isReady} from "../leased/edges.js"
 import {seededRandom} from "../utils/random.js"
-import {untilEnded} from "./leased-callers.js"
+import {waitUntilEnded} from "./leased-callers.js"
 import {
 	isConnectionFault,
 	planConnectionFaults,
@@ -23,7 +23,7 @@
 import {violationsOf} from "./leased-verdict.js"
 import {runRoughCallers, type ReturnedJob} from "./rough-callers.js"
 import {runRoughFault} from "./rough-faults.js"
-import {keepRun, type RecordLine} from "./rough-record.js"
+import {saveRun, type RecordLine} from "./rough-record.js"
 import {isRoughFault, planFaults, type PlannedFault} from "./rough-schedule.js"
 import {closeRoughWorld, startRoughWorld, type RoughWorld} from "./rough-world.js"
 import {sleep} from "../utils/sleep.js"
@@ -87,7 +87,7 @@
 	readonly kept: string | undefined
 }
 
-const SHARE_KEPT = 0.05
+const KEPT_SHARE = 0.05
 /** Time limit after the last fault for instances to be ready, and for accepted jobs to end. */
 const FINISH_MS = 30_000
 const READY_POLL_MS = 200
@@ -101,16 +101,16 @@
 async function runFault(
 	world: RoughWorld,
 	fault: PlannedFault | PlannedConnectionFault | PlannedMachineFault,
-	note: (text: string) => void,
+	report: (text: string) => void,
 ) {
-	if (isConnectionFault(fault)) return runConnectionFault(world, fault, note)
-	if (isMachineFault(fault)) return runMachineFault(world, fault, note)
+	if (isConnectionFault(fault)) return runConnectionFault(world, fault, report)
+	if (isMachineFault(fault)) return runMachineFault(world, fault, report)
 	const random = seededRandom(fault.seed)
-	if (isRoughFault(fault.name)) return runRoughFault(world, fault.name, random, note)
-	const lastsMs = 500 + random() * 2_000
+	if (isRoughFault(fault.name)) return runRoughFault(world, fault.name, random, report)
+	const durationMs = 500 + random() * 2_000
 	const before = world.configVersion
-	const own = {...world, random, lastsMs}
-	await runLeasedFault(own, fault.name, note)
+	const own = {...world, random, durationMs}
+	await runLeasedFault(own, fault.name, report)
 	world.configVersion += own.configVersion - before
 }
 
@@ -124,23 +124,23 @@
 
 async function runFaults(world: RoughWorld, plan: RoughSoakPlan, faults: RecordLine[]) {
 	const began = performance.now()
-	const underWay: Promise<void>[] = []
+	const pending: Promise<void>[] = []
 	for (const fault of planAll(plan)) {
 		await sleep(began + fault.atMs - performance.now())
-		const number = underWay.length
+		const number = pending.length
 		const note = (what: string) => {
 			faults.push(stamp({kind: "begins", number, what}))
 			plan.onFault(what)
 		}
 		const over = () => void faults.push(stamp({kind: "ends", number}))
-		underWay.push(runFault(world, fault, note).finally(over))
+		pending.push(runFault(world, fault, note).finally(over))
 	}
-	await Promise.all(underWay)
+	await Promise.all(pending)
 	for (const {child} of world.fleet.edges) child.kill("SIGCONT")
 }
 
 /** Waits until all instances are ready. Returns the names of those that are not in time. */
-async function untilAllReady({fleet}: RoughWorld): Promise<readonly string[]> {
+async function waitUntilReady({fleet}: RoughWorld): Promise<readonly string[]> {
 	const until = performance.now() + FINISH_MS
 	for (;;) {
 		const edges = [...newestEdges(fleet).values()]
@@ -167,11 +167,11 @@
 export async function runRoughSoak(changes: Partial<RoughSoakPlan> = {}): Promise<RoughVerdict> {
 	const plan = {...ROUGH_SOAK_DEFAULTS, ...changes}
 	const {seed, callers, keepIn} = plan
-	const judged: RecordLine[] = []
+	const platformRecords: RecordLine[] = []
 	const faults: RecordLine[] = []
 	const failureDomains = Array.from({length: plan.domains}, (_, at) => `zone-${at + 1}`)
 	const random = seededRandom(seed + WORLD_SEED)
-	const record = (line: RecordLine) => void judged.push(line)
+	const record = (line: RecordLine) => void platformRecords.push(line)
 	const world = await startRoughWorld({...plan, failureDomains, random, record})
 	const lag = monitorEventLoopDelay({resolution: LAG_RESOLUTION_MS})
 	lag.enable()
@@ -185,18 +185,20 @@
 			callers,
 			shareClosing: plan.shareClosing,
 			isNeeded: () => isNeeded,
-			shareKept: SHARE_KEPT,
+			keptShare: KEPT_SHARE,
 		})
 		const behind = await ended
-		const unready = await untilAllReady(world)
-		await untilEnded(world.fleet, jobs, FINISH_MS)
+		const unready = await waitUntilReady(world)
+		await waitUntilEnded(world.fleet, jobs, FINISH_MS)
 		const broken = jobs.flatMap(job => violationsOf(job, world.platform))
 		const violations = [...world.platform.violations, ...behind, ...broken]
 		const lagMs = Math.round(lag.max / NS_PER_MS)
 		const verdict = {seed, ...countJobs(jobs), unready, lagMs, violations}
 		const {edges} = world.fleet
-		const isToKeep = keepIn !== undefined && (plan.keepsAll || violations.length > 0)
-		const kept = isToKeep ? keepRun(keepIn, {verdict, faults, judged, jobs, edges}) : undefined
+		const shouldSave = keepIn !== undefined && (plan.keepsAll || violations.length > 0)
+		const kept = shouldSave
+			? saveRun(keepIn, {verdict, faults, platformRecords, jobs, edges})
+			: undefined
 		return {...verdict, kept}
 	} finally {
 		lag.disable()
--- a/packages/standins/src/soak/rough-world.ts
+++ b/packages/standins/src/soak/rough-world.ts
@@ -30,7 +30,7 @@
 
 const PRELOAD = new URL("../leased/reroute.js", import.meta.url).href
 /** Share of executors in the first failure domain, so that tasks must move to other domains. */
-const SHORT_SHARE = 0.34
+const SHORT_DOMAIN_SHARE = 0.34
 const SLOW_CLOCK_SHARE = 0.3
 /** Contract limit: executors' clocks are at most 2% slow. */
 const SLOW_CLOCK_RATE = 0.98
@@ -39,19 +39,19 @@
 const CAPACITY_CPU = 64_000
 const READY_MS = 60_000
 /** Loopback networks 127.16 to 127.215, chosen by process id so that concurrent soaks do not collide. */
-const FIRST_NET = 16
-const NETS = 200
-const HOSTS_PER_NET = 200
+const FIRST_SUBNET = 16
+const SUBNETS = 200
+const HOSTS_PER_SUBNET = 200
 
 const portOf = (address: string) => Number(address.split(":")[1])
-const LINKS_NET = 255
-const LINK_HOST = [127, FIRST_NET + (process.pid % NETS), LINKS_NET, 1].join(".")
+const LINKS_SUBNET = 255
+const LINK_HOST = [127, FIRST_SUBNET + (process.pid % SUBNETS), LINKS_SUBNET, 1].join(".")
 const ipAt = (at: number) =>
 	[
 		127,
-		FIRST_NET + (process.pid % NETS),
-		Math.floor(at / HOSTS_PER_NET),
-		1 + (at % HOSTS_PER_NET),
+		FIRST_SUBNET + (process.pid % SUBNETS),
+		Math.floor(at / HOSTS_PER_SUBNET),
+		1 + (at % HOSTS_PER_SUBNET),
 	].join(".")
 
 /** Returns the network's name for a failure domain's executors. */
@@ -67,7 +67,7 @@
 	const {failureDomains, executorsPerDomain, random} = plan
 	const executorLinks = new Map<string, Link>()
 	const storeLinks = new Map<string, Link>()
-	const shortOf = Math.max(1, Math.floor(executorsPerDomain * SHORT_SHARE))
+	const shortOf = Math.max(1, Math.floor(executorsPerDomain * SHORT_DOMAIN_SHARE))
 	const platform = await startLeasedPlatform({
 		failureDomains,
 		executorsPerDomain,
@@ -125,8 +125,8 @@
 		executorLinks,
 		storeLinks,
 		random,
-		lastsMs: 0,
-		hushPeers: network.hush,
+		durationMs: 0,
+		silencePeers: network.hush,
 		waitsForReadiness: false,
 		configVersion: 1,
 	}
--- a/packages/standins/src/soak/soak.ts
+++ b/packages/standins/src/soak/soak.ts
@@ -56,8 +56,8 @@
 	try {
 		const {faults, rounds, onFault} = plan
 		let isNeeded = true
-		const lasting = {lastsMs: plan.faultMs, pauseMs: PAUSE_MS}
-		const running = runFaults(fleet, {random, faults, rounds, onFault, ...lasting}).finally(
+		const timing = {durationMs: plan.faultMs, pauseMs: PAUSE_MS}
+		const running = runFaults(fleet, {random, faults, rounds, onFault, ...timing}).finally(
 			() => (isNeeded = false),
 		)
 		const load = {...DEFAULT_LOAD, random, isNeeded: () => isNeeded, ...plan.load}
