--- a/packages/standins/src/bench/bench.ts
+++ b/packages/standins/src/bench/bench.ts
@@ -1,6 +1,5 @@
 /**
- * The benchmark's cases: each runs against one entry instance and returns its figures. Nothing is
- * judged here.
+ * The cases of `npm run bench`. Each runs against one entry instance and returns its measurements.
  */
 import {build} from "hdr-histogram-js"
 import {Agent, request} from "undici"
@@ -11,7 +10,7 @@
 
 export interface BenchFigures {
 	readonly name: string
-	/** Submissions a second. */
+	/** Submissions per second. */
 	readonly perSecond: number
 	readonly startsPerSecond: number
 	readonly p50Ms: number
@@ -26,10 +25,10 @@
 export interface BenchCase {
 	readonly name: string
 	readonly startsEach: number
-	/** Sends one submission; false when its answer was not whole. */
+	/** Sends one submission. Returns whether the answer was complete. */
 	readonly send: (fleet: Fleet, dispatcher: Agent) => Promise<boolean>
 	readonly concurrency: number
-	/** Submissions a second for an open loop; without it the loop is closed. */
+	/** Submissions per second of an open loop; undefined for a closed loop. */
 	readonly rate?: number
 }
 
@@ -44,7 +43,7 @@
 	repeatable: true,
 }
 
-/** One request sent straight to an executor: the baseline. */
+/** Baseline: one request sent directly to an executor. */
 const direct: BenchCase["send"] = async (fleet, dispatcher) => {
 	const {port} = fleet.executors[Math.floor(Math.random() * fleet.executors.length)]!
 	const res = await request(`http://127.0.0.1:${port}/invoke`, {
@@ -89,7 +88,7 @@
 	{name: `jobs of ${TASKS} tasks, full`, startsEach: TASKS, send: job, concurrency: 8},
 ])
 
-/** Runs one case for a while. */
+/** Runs one case for `ms` milliseconds and returns its measurements. */
 export async function runCase(fleet: Fleet, item: BenchCase, ms: number): Promise<BenchFigures> {
 	const dispatcher = new Agent({connections: item.concurrency, pipelining: 1})
 	const times = build({numberOfSignificantValueDigits: 3})
--- a/packages/standins/src/bench/jobs-bench.ts
+++ b/packages/standins/src/bench/jobs-bench.ts
@@ -1,9 +1,6 @@
 /**
- * What a job costs the fleet in processor time: real instances against the stand-in of the users' platform.
- *
- * Jobs arrive at an even rate, spread over all instances, in three shapes: many short tasks, a few long
- * ones, and two of middle length. Processor time is the operating system's account of each process, over the
- * time under load, less start.
+ * Measures the fleet's processor time per job: real instances on the platform stand-in, with jobs of three shapes
+ * arriving at an even rate. Processor time is read from the operating system, without startup and warm-up.
  */
 import {startEdges, handIn, untilPlaced, type Edge, type EdgeFleet} from "../leased/edges.js"
 import {startLeasedPlatform, type LeasedPlatform} from "../leased/platform.js"
@@ -16,7 +13,7 @@
 	readonly executorsPerDomain: number
 	readonly jobsPerSecond: number
 	readonly seconds: number
-	/** Arguments of the runtime, for a profile. */
+	/** Arguments of Node.js, e.g. for a profile. */
 	readonly nodeArgs?: readonly string[]
 }
 
@@ -24,13 +21,15 @@
 	readonly jobs: number
 	/** Jobs that were not answered with success. */
 	readonly failures: number
-	/** Processor milliseconds of all instances for each job. */
+	/** Processor time of all instances per job. */
 	readonly cpuMsPerJob: number
-	/** Of the instances that place, and of the others. */
+	/** Processor time of the placers per job. */
 	readonly placersCpuMsPerJob: number
+	/** Processor time of the other instances per job. */
 	readonly othersCpuMsPerJob: number
-	/** Processor milliseconds of all instances in a second without jobs. */
+	/** Processor time of all instances per second without jobs. */
 	readonly idleCpuMsPerSecond: number
+	/** Percentiles of the answer time, less the time of one task. */
 	readonly p50Ms: number
 	readonly p95Ms: number
 }
@@ -41,18 +40,18 @@
 	readonly workMs: number
 }
 
-/** The mix of the users' sheets: kinds of request by their share of arrivals. */
+/** Job shapes by share of arrivals. */
 const SHAPES: readonly Shape[] = [
 	{weight: 0.25, count: 8, workMs: 60},
 	{weight: 0.04, count: 4, workMs: 900},
 	{weight: 0.71, count: 2, workMs: 200},
 ]
 const IDLE_MS = 3_000
-/** The first calls of a process are slower: its code is compiled meanwhile. */
+/** Keeps the compilation of code out of the measurement. */
 const WARM_UP_MS = 3_000
 const MS_PER_S = 1_000
 
-/** Goes through the shapes by their weights, the same way in each run. */
+/** Returns the shape of the job, by weight and the same in each run. */
 function shapeOf(serial: number): Shape {
 	let place = ((serial * 0.618_033_988_7) % 1) - 1e-9
 	for (const shape of SHAPES) {
@@ -99,6 +98,7 @@
 	return fleet.edges.filter(({name}) => names.includes(name))
 }
 
+/** Runs the benchmark once. All started processes are always ended. */
 export async function runJobsBench(options: JobsBenchOptions): Promise<JobsBenchFigures> {
 	const domains = Array.from({length: options.failureDomains}, (_, at) => `d${at + 1}`)
 	const platform = await startLeasedPlatform({
@@ -142,7 +142,7 @@
 	}
 }
 
-/** By SIGTERM first: a profile is written when a process ends by itself. */
+/** Sends SIGTERM first, because Node.js writes a profile only on a regular exit. */
 async function stopAll(fleet: EdgeFleet) {
 	for (const {child} of fleet.edges) child.kill("SIGTERM")
 	const patience = sleep(12 * MS_PER_S)
--- a/packages/standins/src/bench/jobs.ts
+++ b/packages/standins/src/bench/jobs.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bench:jobs`: processor time of the whole fleet for each job, on the stand-in of the users' platform.
+ * Command line of the jobs benchmark (`npm run bench:jobs`): the fleet's processor time per job.
  */
 import meow from "meow"
 import {runJobsBench, type JobsBenchFigures} from "./jobs-bench.js"
--- a/packages/standins/src/bench/main.ts
+++ b/packages/standins/src/bench/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench`: medians and ranges over several runs, for this build and, with `--earlier`, for
- * an earlier one.
+ * Command line of the benchmark (`npm run bench`): prints medians and ranges over several runs, for this build and,
+ * with `--earlier`, for an earlier one.
  */
 import meow from "meow"
 import {startFleet} from "../fleet/fleet.js"
--- a/packages/standins/src/bench/return-bench.ts
+++ b/packages/standins/src/bench/return-bench.ts
@@ -1,8 +1,6 @@
 /**
- * How soon a fleet serves again after all its instances were lost together: real processes on the stand-in of the users' platform.
- *
- * Jobs arrive at an even rate all the while; callers that find nobody try until their deadline, and those whose connection breaks
- * come back as the contract says. Times are counted from the start of each process, or of the last of them.
+ * Measures how soon a fleet serves again after all instances were killed together, with real processes on the platform
+ * stand-in. Jobs arrive at an even rate throughout, and callers resubmit as the contract says.
  */
 import {handIn, startEdges, untilPlaced, type Edge, type EdgeFleet} from "../leased/edges.js"
 import {startLeasedPlatform, type LeasedPlatform} from "../leased/platform.js"
@@ -14,30 +12,31 @@
 	readonly instancesPerDomain: number
 	readonly executorsPerDomain: number
 	readonly jobsPerSecond: number
-	/** For how long all are gone, in milliseconds. */
+	/** Time between the loss and the restart. */
 	readonly downMs: number
-	/** The program that is started, when not that of the build. */
+	/** Path of the program to start; this build's by default. */
 	readonly program?: string
 	readonly nodeArgs?: readonly string[]
-	/** What of placing is switched on. */
+	/** Settings of placing. */
 	readonly placing?: Readonly<Record<string, unknown>>
 }
 
-/** Milliseconds; processor time is that of one process in the mean. */
+/** Measured times, from the start of the last restarted process unless said otherwise. */
 export interface ReturnFigures {
-	/** From a process's start until it listens, in the middle of all. */
+	/** Median time from a process's own start until it listens. */
 	readonly listensMs: number
-	/** Until the first and the last claim is written, from the last process's start. */
+	/** Time until the first and the last claim is written. */
 	readonly firstClaimMs: number
 	readonly lastClaimMs: number
-	/** Until the first and the last executor obeys. */
+	/** Time until the first and the last executor has accepted its placer's fence. */
 	readonly firstFenceMs: number
 	readonly lastFenceMs: number
 	readonly firstStartMs: number
-	/** Until nine tenths of the starts a second that there were before. */
+	/** Time until the start rate reaches nine tenths of the rate before the loss. */
 	readonly rateMs: number
+	/** Mean processor time of a process until the first start. */
 	readonly cpuToFirstStartMs: number
-	/** Jobs of two seconds from the loss on that were served at all, of those that came. */
+	/** Share of the jobs of the first two seconds after the loss that were served. */
 	readonly served: number
 }
 
@@ -58,7 +57,10 @@
 const middle = (values: readonly number[]) =>
 	[...values].sort((a, b) => a - b)[Math.floor(values.length / 2)] ?? NaN
 
-/** Calls an instance's newest life until there is an answer or the deadline has passed; a broken call comes again later. */
+/**
+ * Calls an instance's newest process until there is an answer or the deadline has passed, and resubmits a failed call
+ * once. Returns whether the job was served.
+ */
 async function callTillServed(edgeNow: () => Edge, id: string): Promise<boolean> {
 	const until = performance.now() + DEADLINE_MS
 	const job = {count: COUNT, cpu: CPU, estimateMs: WORK_MS, spec: {workMs: WORK_MS}}
@@ -81,7 +83,7 @@
 	}
 }
 
-/** Offers jobs until it is stopped; tells of each when it came and whether it was served. */
+/** Submits jobs until the returned function is called, which resolves to each job's arrival time and result. */
 function offer(names: readonly string[], edgeOf: (name: string) => Edge, jobsPerSecond: number) {
 	const jobs: Promise<{readonly at: number; readonly isServed: boolean}>[] = []
 	const begunAt = performance.now()
@@ -103,7 +105,7 @@
 	}
 }
 
-/** The end of the first window with so many starts. */
+/** Returns the end of the first window with at least `perWindow` starts, or NaN when there is none. */
 function reachedAt(starts: readonly number[], from: number, perWindow: number): number {
 	for (let at = from; at <= from + AFTER_MS; at += 10) {
 		const count = starts.filter(time => time > at - WINDOW_MS && time <= at).length
@@ -169,6 +171,7 @@
 	}
 }
 
+/** Runs the benchmark once. All started processes are always ended. */
 export async function runReturnBench(options: ReturnBenchOptions): Promise<ReturnFigures> {
 	const domains = Array.from({length: options.failureDomains}, (_, at) => `d${at + 1}`)
 	const starts: number[] = []
--- a/packages/standins/src/bench/return.ts
+++ b/packages/standins/src/bench/return.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run bench:return`: how soon a fleet serves again after all its instances were lost together.
+ * Command line of the return benchmark (`npm run bench:return`): how soon a fleet serves again after all instances
+ * were killed together.
  */
 import meow from "meow"
 import {runReturnBench, type ReturnFigures} from "./return-bench.js"
--- a/packages/standins/src/bench/usage.ts
+++ b/packages/standins/src/bench/usage.ts
@@ -1,5 +1,5 @@
 /**
- * Processor time and memory of a running process, as the operating system accounts them.
+ * Reads the processor time and memory of a running process from the operating system, for the benchmarks.
  */
 import {readFileSync} from "node:fs"
 
@@ -11,7 +11,7 @@
 const MS_PER_TICK = 10
 const KB_PER_MB = 1_024
 
-/** Reads a process's usage; Linux only. */
+/** Reads a process's usage from /proc. Throws when the process does not exist; Linux only. */
 export function readUsage(pid: number): Usage {
 	const stat = readFileSync(`/proc/${pid}/stat`, "utf8")
 	const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ")
--- a/packages/standins/src/bench/ways.ts
+++ b/packages/standins/src/bench/ways.ts
@@ -1,6 +1,6 @@
 /**
- * The cost of making an intent durable, in two ways: one compare-and-swap per submission, and the
- * owner's journal that joins intents. The store takes 4 ms for a write and at most 300 a second.
+ * Benchmark of two methods of making an intent durable: one compare-and-swap per submission, and the owner's journal,
+ * which batches intents. The simulated store takes 4 ms per write and at most 300 writes per second.
  */
 import {build} from "hdr-histogram-js"
 import {openJournal, systemClock, type CreateResult} from "@cottonwood/core"
@@ -16,12 +16,12 @@
 
 const WRITE_MS = 4
 const STORE_WRITES_PER_SECOND = 300
-/** The journal's share of the fleet's writes: one of eight owners, 240 a second in all. */
+/** One of eight owners that share 240 writes per second. */
 const JOURNAL_SPACING_MS = (8 * 1_000) / 240
 const RUN_MS = 4_000
 const MICROSECONDS = 1_000
 
-/** A store that serves writes one after the other at its rate. */
+/** Creates a store that serves writes one after another at a fixed rate. */
 function createStore() {
 	let freeAt = 0
 	let writes = 0
--- a/packages/standins/src/capacity/idle.ts
+++ b/packages/standins/src/capacity/idle.ts
@@ -1,6 +1,6 @@
 /**
- * What an idle fleet spends on control: processor time and memory of its entry instances, and the
- * bytes on the loopback interface, at several sizes.
+ * Measures the control cost of an idle fleet: processor time and memory of its entry instances, loopback traffic and
+ * store calls.
  */
 import {readFileSync} from "node:fs"
 import {readUsage} from "../bench/usage.js"
@@ -10,10 +10,11 @@
 export interface IdleFigures {
 	readonly entries: number
 	readonly endpoints: number
-	/** Share of a core, of one entry instance. */
+	/** Mean share of a core used by one entry instance. */
 	readonly cpuShare: number
+	/** Largest resident memory of an entry instance. */
 	readonly rssMb: number
-	/** Sent and received by one entry instance, in bytes a second. */
+	/** Mean bytes per second sent and received by one entry instance. */
 	readonly bytesPerSecond: number
 	readonly storeCallsPerSecond: number
 }
@@ -32,7 +33,7 @@
 const total = (values: Readonly<Record<string, number>>) =>
 	Object.values(values).reduce((sum, value) => sum + value, 0)
 
-/** Starts a fleet without load and watches it for a while. */
+/** Starts a fleet without load and measures it for 15 seconds. The fleet is always stopped. */
 export async function measureIdle(entriesPerDomain: number): Promise<IdleFigures> {
 	const fleet = await startFleet({
 		failureDomains: Array.from({length: DOMAINS}, (_, i) => `fd${i + 1}`),
--- a/packages/standins/src/capacity/main.ts
+++ b/packages/standins/src/capacity/main.ts
@@ -1,4 +1,4 @@
-/** `npm run capacity`: prints the slopes that docs/CAPACITY.md is worked out from. */
+/** Command line of the capacity measurements (`npm run capacity`), which docs/CAPACITY.md is derived from. */
 import {measureIdle} from "./idle.js"
 import {measureSpread} from "./spread.js"
 import {measureSlopes} from "./slopes.js"
--- a/packages/standins/src/capacity/slopes.ts
+++ b/packages/standins/src/capacity/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * The slopes behind docs/CAPACITY.md: each measures one cost of the core at several sizes, in this
- * process, and fits a line through the medians.
+ * Measures costs of the core for docs/CAPACITY.md. Each cost is measured in this process at several sizes, and a line
+ * is fitted through the medians.
  */
 import {
 	assignEvenly,
@@ -38,7 +38,7 @@
 	return [...values].sort((a, b) => a - b)[Math.floor(values.length / 2)]!
 }
 
-/** Least squares. */
+/** Fits a line by least squares. */
 function fit(sizes: readonly number[], values: readonly number[]) {
 	const n = sizes.length
 	const meanX = sizes.reduce((a, b) => a + b, 0) / n
@@ -115,7 +115,7 @@
 	}
 }
 
-/** Places and settles batches of 100 attempts; returns microseconds per placement. */
+/** Places and settles batches of 100 attempts. Returns processor microseconds per placement. */
 async function placementUs(targets: number): Promise<number> {
 	const sent: string[] = []
 	const scheduler = createScheduler({
@@ -163,7 +163,7 @@
 	return us / count
 }
 
-/** Bytes of heap per submission that an owner keeps for its retention. */
+/** Returns the heap bytes that an owner retains for the submissions, or NaN when it did not keep them all. */
 async function ownerBytes(submissions: number): Promise<number> {
 	const journal = openJournal({
 		session: "s",
@@ -219,7 +219,7 @@
 	})
 }
 
-/** Bytes of the ownership map after many sessions came and went. */
+/** Returns the size in bytes of the ownership map after the given number of sessions. */
 function mapBytes(sessions: number): number {
 	let map = emptyOwnership()
 	for (let i = 0; i < sessions; i++) {
@@ -241,7 +241,6 @@
 	return Buffer.byteLength(JSON.stringify({nonce: "session:1", at: 1, records: list}))
 }
 
-/** Measures all slopes. */
 export async function measureSlopes(): Promise<readonly Slope[]> {
 	return [
 		await slope("placement", "us per placement", "targets", [50, 100, 200, 400], placementUs),
--- a/packages/standins/src/capacity/spread.ts
+++ b/packages/standins/src/capacity/spread.ts
@@ -1,6 +1,6 @@
 /**
- * How long an accepted configuration takes to be in force at every entry instance, and what the
- * store is asked meanwhile; once with all failure domains on the platform, once with one cut off.
+ * Measures how long an accepted configuration takes to reach every entry instance and the store calls per change, with
+ * all failure domains connected and with one cut off from the store.
  */
 import {startFleet, type Fleet} from "../fleet/fleet.js"
 import {getJson, putJson} from "../fleet/json-http.js"
@@ -28,12 +28,13 @@
 	while ((await readConfig(url)).version < version) await sleep(POLL_MS)
 }
 
-/** Makes one change and returns the milliseconds until all entry instances have it. */
+/** Makes one change. Returns the milliseconds until all entry instances have it; throws when it is refused. */
 async function changeOnce(fleet: Fleet): Promise<number> {
 	const [first] = fleet.entries
 	const {version, config} = await readConfig(first!.url)
 	const put = await putJson(`${first!.url}/v1/config`, config, {"if-match": String(version)})
-	if (put.status !== 200) throw new Error("a change was refused")
+	if (put.status !== 200)
+		throw new Error("the configuration change was refused, expected status 200")
 	const acceptedAt = performance.now()
 	await Promise.all(fleet.entries.map(entry => waitForVersion(entry.url, version + 1)))
 	return performance.now() - acceptedAt
@@ -52,7 +53,7 @@
 	return {situation, changes: CHANGES, medianMs, worstMs: times.at(-1)!, storeCallsPerChange}
 }
 
-/** Measures both situations on eight entry instances in four failure domains. */
+/** Measures both situations on a fleet of four failure domains, which is always stopped. */
 export async function measureSpread(): Promise<readonly SpreadFigures[]> {
 	const fleet = await startFleet({
 		failureDomains: ["fd1", "fd2", "fd3", "fd4"],
--- a/packages/standins/src/experiment/load.ts
+++ b/packages/standins/src/experiment/load.ts
@@ -1,5 +1,5 @@
 /**
- * The load: arrivals in a seeded open loop, and the figures of what came back.
+ * The load generator of the experiment: seeded open-loop arrivals, and the measurements of their answers.
  */
 import {build, type Histogram} from "hdr-histogram-js"
 import type {Profile, Scenario} from "./profiles.js"
@@ -9,7 +9,7 @@
 	readonly index: number
 	readonly atMs: number
 	readonly type: "request" | "once" | "job"
-	/** The run time of each task, in milliseconds. */
+	/** Run time of each task. */
 	readonly runMs: readonly number[]
 }
 
@@ -23,12 +23,12 @@
 
 export interface Figures {
 	readonly responseOverIdeal: Percentiles
-	/** The same by type; `once` waits for a synced write that the ideal leaves out. */
+	/** Ratios by type. `once` waits for a durable write, which the ideal does not include. */
 	readonly responseOverIdealOf: Readonly<Record<Work["type"], Percentiles>>
 	readonly wastedPerNeeded: number
-	/** Run time of complete submissions over what the healthy capacity allows, at most 1. */
+	/** Run time of complete submissions over the smaller of the total capacity and the offered run time. */
 	readonly goodputOverCapacity: number
-	/** Run time of complete submissions over what was offered. */
+	/** Run time of complete submissions over the offered run time. */
 	readonly goodputOverOffered: number
 	readonly complete: number
 	readonly refused: number
@@ -39,7 +39,7 @@
 	readonly storeCallsPerSecond: number
 }
 
-/** Sends one submission and says how it ended. */
+/** Sends one submission and returns its outcome. */
 export type Send = (work: Work) => Promise<WorkEnd>
 
 const RATIO_SCALE = 1_000
@@ -49,7 +49,7 @@
 const BURST_MS = 2_000
 const MIN_RUN_MS = 50
 
-/** Run times from 50 ms to a second, a few of several seconds. */
+/** Draws run times from 50 ms to a second, with a few of two to three seconds. */
 function drawRunMs(random: () => number): number {
 	if (random() < 0.005) return 2_000 + random() * 1_000
 	return Math.min(1_000, MIN_RUN_MS - 330 * Math.log(1 - random()))
@@ -64,7 +64,7 @@
 	return isBurst ? scenario.burst : scenario.load
 }
 
-/** Draws all arrivals of a run; the same seed gives the same row. */
+/** Draws all arrivals of a run, the same for the same random sequence, in the order of time. */
 export function drawLoad(
 	profile: Profile,
 	scenario: Scenario,
@@ -125,7 +125,7 @@
 	readonly storeCalls: number
 }
 
-/** Plays a load and returns its figures; `readSums` is read before and after. */
+/** Sends all submissions at their times and returns the measurements. `readSums` is called before and after. */
 export async function playLoad(
 	works: readonly Work[],
 	profile: Profile,
--- a/packages/standins/src/experiment/main.ts
+++ b/packages/standins/src/experiment/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run experiment`: plays the same seeded load against each way, and writes `experiment.json`
- * and `experiment.svg`.
+ * Command line of the experiment (`npm run experiment`): runs the same seeded load against each policy and writes
+ * `experiment.json` and `experiment.svg`.
  */
 import {writeFileSync} from "node:fs"
 import {join} from "node:path"
@@ -50,7 +50,7 @@
 	await res.body.dump()
 }
 
-/** Makes the first share of targets fail everything and the next share slow. */
+/** Makes the scenario's shares of executors and workers fail everything or run slowly. */
 async function makeFaulty(fleet: Fleet, scenario: Scenario) {
 	for (const targets of [fleet.executors, fleet.workers]) {
 		const failing = Math.round(targets.length * scenario.failing)
--- a/packages/standins/src/experiment/plot.ts
+++ b/packages/standins/src/experiment/plot.ts
@@ -1,6 +1,6 @@
 /**
- * The plot of an experiment: one row of bars per figure, one bar per profile, scenario and policy,
- * with the range over the seeds.
+ * The plot of the experiment: one panel per measurement, one bar per profile, scenario and policy, with the range over
+ * the seeds.
  */
 import type {Figures} from "./load.js"
 
--- a/packages/standins/src/experiment/policies.ts
+++ b/packages/standins/src/experiment/policies.ts
@@ -1,6 +1,5 @@
 /**
- * The ways that are compared: cottonwood's fleet, and callers that pick a random target themselves
- * and plainly retry.
+ * The policies that the experiment compares: the fleet under test, and callers that choose random targets and retry.
  */
 import {randomUUID} from "node:crypto"
 import {Agent, request} from "undici"
@@ -14,7 +13,7 @@
 	readonly readSums: () => Promise<Sums>
 }
 
-/** Counters that stand for a message that brought nothing. */
+/** Counters of messages without effect. */
 const WASTED = /^(wasted\.|retry\.)/
 const REFUSAL = /^refusal\./
 
@@ -45,7 +44,7 @@
 	return answer.body.ran === "not run" ? "refused" : "failed"
 }
 
-/** Submissions to the fleet's entry instances, in turn, as a balancer would send them. */
+/** Sends submissions to the fleet's entry instances in turn, like a load balancer. */
 export function fleetPolicy(fleet: Fleet, scenario: Scenario): Policy {
 	const dispatcher = new Agent({connections: 512, pipelining: 1})
 	const options = {deadlineMs: scenario.deadlineMs, dispatcher}
@@ -71,7 +70,7 @@
 
 const RETRY_PAUSE_MS = 50
 
-/** Callers that pick a random executor or worker for each try, until the deadline. */
+/** Sends each task to a random executor or worker and retries until the deadline. */
 export function randomPolicy(fleet: Fleet, scenario: Scenario, random: () => number): Policy {
 	const dispatcher = new Agent({connections: 512, pipelining: 1})
 	const wasted: Record<string, number> = {}
--- a/packages/standins/src/experiment/profiles.ts
+++ b/packages/standins/src/experiment/profiles.ts
@@ -1,5 +1,5 @@
 /**
- * The two users' sizes and the load that is put on them.
+ * Fleet sizes and load scenarios of the experiment.
  */
 import type {FleetShape} from "../fleet/shape.js"
 
@@ -46,10 +46,7 @@
 	}
 }
 
-/**
- * Workers have 8 processors each here, fewer than the users': the stand-ins of all workers share
- * one machine with the system under test.
- */
+/** Workers have only 8 processors, because all stand-ins share one machine with the system under test. */
 export const PROFILES: readonly Profile[] = Object.freeze([
 	toProfile({
 		name: "timber",
@@ -77,8 +74,9 @@
 	readonly load: number
 	/** Offered work over capacity during the burst in the middle; 0 for none. */
 	readonly burst: number
-	/** The share of workers and executors that fail everything, and that are slow. */
+	/** Share of workers and executors that fail everything. */
 	readonly failing: number
+	/** Share of workers and executors that are slow. */
 	readonly slow: number
 	readonly durationMs: number
 	readonly deadlineMs: number
--- a/packages/standins/src/soak/rough-callers.ts
+++ b/packages/standins/src/soak/rough-callers.ts
@@ -120,7 +120,7 @@
 		entry.tookMs = Math.round(performance.now() - began)
 		job.statuses.push(entry.status)
 		if (entry.status === 400)
-			throw new Error(`${edge.name} answered 400 to job ${job.id}, expected a well-formed job`)
+			throw new Error(`${edge.name} answered 400, expected a well-formed job to be accepted`)
 		// Half of the refused jobs are tried again.
 		if (entry.status === 200 || (entry.status === 503 && random() < 0.5)) return
 		await sleep(RESUBMIT_MS)
