--- a/packages/standins/src/bench/bench.ts
+++ b/packages/standins/src/bench/bench.ts
@@ -32,7 +32,7 @@
 	readonly rate?: number
 }
 
-const MICROSECONDS = 1_000
+const US_PER_MS = 1_000
 
 const isComplete = (answer: {readonly body: {readonly status?: string}}) =>
 	answer.body.status === "complete"
@@ -44,7 +44,7 @@
 }
 
 /** Baseline: one request sent directly to an executor. */
-const direct: BenchCase["send"] = async (fleet, dispatcher) => {
+const sendDirect: BenchCase["send"] = async (fleet, dispatcher) => {
 	const {port} = fleet.executors[Math.floor(Math.random() * fleet.executors.length)]!
 	const res = await request(`http://127.0.0.1:${port}/invoke`, {
 		method: "POST",
@@ -56,7 +56,7 @@
 	return res.statusCode === 200
 }
 
-const requestCase = (repeatable: boolean): BenchCase["send"] => {
+const sendRequest = (repeatable: boolean): BenchCase["send"] => {
 	return async (fleet, dispatcher) => {
 		const body = {endpoint: "inventory", payload: {ms: 2}, repeatable}
 		const id = randomUUID()
@@ -64,28 +64,28 @@
 	}
 }
 
-const job: BenchCase["send"] = async (fleet, dispatcher) =>
+const sendJob: BenchCase["send"] = async (fleet, dispatcher) =>
 	isComplete(await submitJob(fleet.entries[0]!.url, jobBody, {id: randomUUID(), dispatcher}))
 
 export const BENCH_CASES: readonly BenchCase[] = Object.freeze([
-	{name: "straight to the executor", startsEach: 1, send: direct, concurrency: 64},
-	{name: "repeatable requests, full", startsEach: 1, send: requestCase(true), concurrency: 64},
+	{name: "straight to the executor", startsEach: 1, send: sendDirect, concurrency: 64},
+	{name: "repeatable requests, full", startsEach: 1, send: sendRequest(true), concurrency: 64},
 	{
 		name: "repeatable requests, 500/s",
 		startsEach: 1,
-		send: requestCase(true),
+		send: sendRequest(true),
 		concurrency: 64,
 		rate: 500,
 	},
-	{name: "requests run once, full", startsEach: 1, send: requestCase(false), concurrency: 64},
+	{name: "requests run once, full", startsEach: 1, send: sendRequest(false), concurrency: 64},
 	{
 		name: "requests run once, 300/s",
 		startsEach: 1,
-		send: requestCase(false),
+		send: sendRequest(false),
 		concurrency: 64,
 		rate: 300,
 	},
-	{name: `jobs of ${TASKS} tasks, full`, startsEach: TASKS, send: job, concurrency: 8},
+	{name: `jobs of ${TASKS} tasks, full`, startsEach: TASKS, send: sendJob, concurrency: 8},
 ])
 
 /** Runs one case for `ms` milliseconds and returns its measurements. */
@@ -97,10 +97,10 @@
 	let done = 0
 	const sendOne = async () => {
 		const startedAt = performance.now()
-		const isWhole = await item.send(fleet, dispatcher).catch(() => false)
-		times.recordValue(Math.max(1, Math.round((performance.now() - startedAt) * MICROSECONDS)))
+		const wasComplete = await item.send(fleet, dispatcher).catch(() => false)
+		times.recordValue(Math.max(1, Math.round((performance.now() - startedAt) * US_PER_MS)))
 		done++
-		if (!isWhole) failures++
+		if (!wasComplete) failures++
 	}
 	const before = readUsage(pid)
 	const startedAt = performance.now()
@@ -128,9 +128,9 @@
 		name: item.name,
 		perSecond: (done / tookMs) * 1_000,
 		startsPerSecond: (starts / tookMs) * 1_000,
-		p50Ms: times.getValueAtPercentile(50) / MICROSECONDS,
-		p99Ms: times.getValueAtPercentile(99) / MICROSECONDS,
-		cpuUsPerStart: (cpuMs * MICROSECONDS) / starts,
+		p50Ms: times.getValueAtPercentile(50) / US_PER_MS,
+		p99Ms: times.getValueAtPercentile(99) / US_PER_MS,
+		cpuUsPerStart: (cpuMs * US_PER_MS) / starts,
 		cpuShare: cpuMs / tookMs,
 		rssMb: after.rssMb,
 		failures,
--- a/packages/standins/src/bench/jobs-bench.ts
+++ b/packages/standins/src/bench/jobs-bench.ts
@@ -34,14 +34,14 @@
 	readonly p95Ms: number
 }
 
-interface Shape {
+interface JobShape {
 	readonly weight: number
 	readonly count: number
 	readonly workMs: number
 }
 
 /** Job shapes by share of arrivals. */
-const SHAPES: readonly Shape[] = [
+const SHAPES: readonly JobShape[] = [
 	{weight: 0.25, count: 8, workMs: 60},
 	{weight: 0.04, count: 4, workMs: 900},
 	{weight: 0.71, count: 2, workMs: 200},
@@ -52,31 +52,36 @@
 const MS_PER_S = 1_000
 
 /** Returns the shape of the job, by weight and the same in each run. */
-function shapeOf(serial: number): Shape {
+function shapeOf(serial: number): JobShape {
 	let place = ((serial * 0.618_033_988_7) % 1) - 1e-9
 	for (const shape of SHAPES) {
 		place -= shape.weight
 		if (place < 0) return shape
 	}
-	return SHAPES[SHAPES.length - 1] as Shape
+	return SHAPES[SHAPES.length - 1] as JobShape
 }
 
-async function offer(fleet: EdgeFleet, options: JobsBenchOptions, forMs: number, prefix: string) {
+async function submitJobs(
+	fleet: EdgeFleet,
+	options: JobsBenchOptions,
+	durationMs: number,
+	prefix: string,
+) {
 	const tookMs: number[] = []
 	let failures = 0
 	const calls: Promise<void>[] = []
-	const begunAt = performance.now()
+	const startedAt = performance.now()
 	for (let serial = 0; ; serial++) {
-		const dueInMs = begunAt + (serial * MS_PER_S) / options.jobsPerSecond - performance.now()
+		const dueInMs = startedAt + (serial * MS_PER_S) / options.jobsPerSecond - performance.now()
 		if (dueInMs > 0) await sleep(dueInMs)
-		if (performance.now() - begunAt > forMs) break
+		if (performance.now() - startedAt > durationMs) break
 		const edge = fleet.edges[serial % fleet.edges.length] as Edge
 		calls.push(callOnce(edge, prefix + serial.toString(16).padStart(12, "0"), shapeOf(serial)))
 	}
 	await Promise.all(calls)
 	return {jobs: calls.length, failures, tookMs: tookMs.sort((a, b) => a - b)}
 
-	async function callOnce(edge: Edge, id: string, {count, workMs}: Shape) {
+	async function callOnce(edge: Edge, id: string, {count, workMs}: JobShape) {
 		const sentAt = performance.now()
 		const answer = await handIn(edge, id, {count, cpu: 8_000, spec: {workMs}}).catch(
 			() => undefined,
@@ -115,14 +120,14 @@
 	const fleet = await startEdges(platform, names, {nodeArgs: options.nodeArgs})
 	try {
 		await untilPlaced(fleet, platform.executors.length)
-		await offer(fleet, options, WARM_UP_MS, "aaaa")
+		await submitJobs(fleet, options, WARM_UP_MS, "aaaa")
 		const beforeIdle = cpuMsOf(fleet.edges)
 		await sleep(IDLE_MS)
 		const idleCpuMs = cpuMsOf(fleet.edges) - beforeIdle
 		const placers = placersOf(fleet, platform, domains)
 		const others = fleet.edges.filter(edge => !placers.includes(edge))
 		const before = {placers: cpuMsOf(placers), others: cpuMsOf(others)}
-		const load = await offer(fleet, options, options.seconds * MS_PER_S, "bbbb")
+		const load = await submitJobs(fleet, options, options.seconds * MS_PER_S, "bbbb")
 		const placersMs = cpuMsOf(placers) - before.placers
 		const othersMs = cpuMsOf(others) - before.others
 		const at = (share: number) => load.tookMs[Math.floor(load.tookMs.length * share)] ?? 0
@@ -145,7 +150,7 @@
 /** Sends SIGTERM first, because Node.js writes a profile only on a regular exit. */
 async function stopAll(fleet: EdgeFleet) {
 	for (const {child} of fleet.edges) child.kill("SIGTERM")
-	const patience = sleep(12 * MS_PER_S)
-	await Promise.race([Promise.all(fleet.edges.map(({exited}) => exited)), patience])
+	const timeout = sleep(12 * MS_PER_S)
+	await Promise.race([Promise.all(fleet.edges.map(({exited}) => exited)), timeout])
 	await fleet.close()
 }
--- a/packages/standins/src/bench/main.ts
+++ b/packages/standins/src/bench/main.ts
@@ -53,11 +53,11 @@
 
 const FIGURES = ["startsPerSecond", "p50Ms", "p99Ms", "cpuUsPerStart", "cpuShare", "rssMb"] as const
 
-function spread(runs: readonly BenchFigures[], figure: (typeof FIGURES)[number]): string {
+function formatRange(runs: readonly BenchFigures[], figure: (typeof FIGURES)[number]): string {
 	const values = runs.map(run => run[figure]).sort((a, b) => a - b)
 	const text = (value: number) => value.toPrecision(3)
-	const middle = values[Math.floor(values.length / 2)]!
-	return `${text(middle)} (${text(values[0]!)}..${text(values.at(-1)!)})`
+	const median = values[Math.floor(values.length / 2)]!
+	return `${text(median)} (${text(values[0]!)}..${text(values.at(-1)!)})`
 }
 
 function print(title: string, all: readonly BenchFigures[][]) {
@@ -66,7 +66,7 @@
 		const failures = runs.reduce((sum, run) => sum + run.failures, 0)
 		process.stdout.write(`  ${runs[0]!.name}${failures > 0 ? `, ${failures} failures` : ""}\n`)
 		for (const figure of FIGURES) {
-			process.stdout.write(`    ${figure.padEnd(16)} ${spread(runs, figure)}\n`)
+			process.stdout.write(`    ${figure.padEnd(16)} ${formatRange(runs, figure)}\n`)
 		}
 	}
 }
--- a/packages/standins/src/bench/return-bench.ts
+++ b/packages/standins/src/bench/return-bench.ts
@@ -41,7 +41,7 @@
 }
 
 const WORK_MS = 60
-const COUNT = 4
+const TASKS = 4
 const CPU = 8_000
 const DEADLINE_MS = 1_500
 const RESUBMIT_MS = 1_300
@@ -50,63 +50,67 @@
 const BEFORE_MS = 2_000
 const AFTER_MS = 4_000
 const WINDOW_MS = 200
-const RATE_SHARE = 0.9
+const RECOVERED_SHARE = 0.9
 
 type Line = Readonly<Record<string, unknown>>
 const timeOf = (line: Line) => Date.parse(String(line["timestamp"]))
-const middle = (values: readonly number[]) =>
+const medianOf = (values: readonly number[]) =>
 	[...values].sort((a, b) => a - b)[Math.floor(values.length / 2)] ?? NaN
 
 /**
  * Calls an instance's newest process until there is an answer or the deadline has passed, and resubmits a failed call
  * once. Returns whether the job was served.
  */
-async function callTillServed(edgeNow: () => Edge, id: string): Promise<boolean> {
+async function callUntilServed(edgeNow: () => Edge, id: string): Promise<boolean> {
 	const until = performance.now() + DEADLINE_MS
-	const job = {count: COUNT, cpu: CPU, estimateMs: WORK_MS, spec: {workMs: WORK_MS}}
-	for (let hasBroken = false; ;) {
-		const deadlineMs = hasBroken ? DEADLINE_MS : until - performance.now()
+	const job = {count: TASKS, cpu: CPU, estimateMs: WORK_MS, spec: {workMs: WORK_MS}}
+	for (let hasFailed = false; ;) {
+		const deadlineMs = hasFailed ? DEADLINE_MS : until - performance.now()
 		if (deadlineMs <= 0) return false
 		try {
 			const {status} = await handIn(edgeNow(), id, {...job, deadlineMs})
-			if (status !== 502 || hasBroken) return status === 200
+			if (status !== 502 || hasFailed) return status === 200
 		} catch (error) {
 			const wasRefused = (error as NodeJS.ErrnoException).code === "ECONNREFUSED"
 			if (wasRefused) {
 				await sleep(REFUSED_RETRY_MS)
 				continue
 			}
-			if (hasBroken) return false
+			if (hasFailed) return false
 		}
-		hasBroken = true
+		hasFailed = true
 		await sleep(RESUBMIT_MS)
 	}
 }
 
 /** Submits jobs until the returned function is called, which resolves to each job's arrival time and result. */
-function offer(names: readonly string[], edgeOf: (name: string) => Edge, jobsPerSecond: number) {
+function submitJobs(
+	names: readonly string[],
+	edgeOf: (name: string) => Edge,
+	jobsPerSecond: number,
+) {
 	const jobs: Promise<{readonly at: number; readonly isServed: boolean}>[] = []
-	const begunAt = performance.now()
-	let isOver = false
+	const startedAt = performance.now()
+	let isStopped = false
 	async function loop() {
-		for (let serial = 0; !isOver; serial++) {
-			await sleep(begunAt + (serial * 1_000) / jobsPerSecond - performance.now())
+		for (let serial = 0; !isStopped; serial++) {
+			await sleep(startedAt + (serial * 1_000) / jobsPerSecond - performance.now())
 			const name = names[serial % names.length] as string
 			const at = Date.now()
-			const call = callTillServed(() => edgeOf(name), serial.toString(16).padStart(16, "0"))
+			const call = callUntilServed(() => edgeOf(name), serial.toString(16).padStart(16, "0"))
 			jobs.push(call.then(isServed => ({at, isServed})))
 		}
 	}
 	const ended = loop()
 	return async () => {
-		isOver = true
+		isStopped = true
 		await ended
 		return Promise.all(jobs)
 	}
 }
 
 /** Returns the end of the first window with at least `perWindow` starts, or NaN when there is none. */
-function reachedAt(starts: readonly number[], from: number, perWindow: number): number {
+function rateReachedAt(starts: readonly number[], from: number, perWindow: number): number {
 	for (let at = from; at <= from + AFTER_MS; at += 10) {
 		const count = starts.filter(time => time > at - WINDOW_MS && time <= at).length
 		if (count >= perWindow) return at
@@ -114,12 +118,12 @@
 	return NaN
 }
 
-async function loseAll(fleet: EdgeFleet, lives: readonly Edge[], downMs: number) {
-	for (const {child} of lives) child.kill("SIGKILL")
+async function killAndRestartAll(fleet: EdgeFleet, processes: readonly Edge[], downMs: number) {
+	for (const {child} of processes) child.kill("SIGKILL")
 	const lostAt = Date.now()
-	await Promise.all(lives.map(({exited}) => exited))
+	await Promise.all(processes.map(({exited}) => exited))
 	await sleep(downMs)
-	const next = await Promise.all(lives.map(edge => fleet.relaunch(edge)))
+	const next = await Promise.all(processes.map(edge => fleet.relaunch(edge)))
 	return {lostAt, next}
 }
 
@@ -135,16 +139,16 @@
 	launchedAt: ReadonlyMap<Edge, number>,
 ): Promise<ReturnFigures> {
 	const edgeOf = (name: string) => fleet.edges.findLast(edge => edge.name === name) as Edge
-	const lives = [...fleet.edges]
+	const processes = [...fleet.edges]
 	await untilPlaced(fleet, platform.executors.length)
-	const stop = offer(
-		lives.map(({name}) => name),
+	const stop = submitJobs(
+		processes.map(({name}) => name),
 		edgeOf,
 		options.jobsPerSecond,
 	)
 	await sleep(WARM_UP_MS + BEFORE_MS)
 	const before = starts.filter(time => time > Date.now() - BEFORE_MS).length
-	const {lostAt, next} = await loseAll(fleet, lives, options.downMs)
+	const {lostAt, next} = await killAndRestartAll(fleet, processes, options.downMs)
 	const backAt = Math.max(...next.map(edge => launchedAt.get(edge) as number))
 	while (!starts.some(time => time > backAt)) await sleep(2)
 	const cpu = next.map(({child}) => readUsage(child.pid as number).cpuMs)
@@ -157,15 +161,15 @@
 	const claims = timesOf(next, "placing_begun").map(at => at - backAt)
 	const fences = timesOf(next, "fence_taken").map(at => at - backAt)
 	const firstStart = starts.find(time => time > backAt) as number
-	const perWindow = (before / BEFORE_MS) * WINDOW_MS * RATE_SHARE
+	const perWindow = (before / BEFORE_MS) * WINDOW_MS * RECOVERED_SHARE
 	return {
-		listensMs: middle(listens),
+		listensMs: medianOf(listens),
 		firstClaimMs: Math.min(...claims),
 		lastClaimMs: Math.max(...claims),
 		firstFenceMs: Math.min(...fences),
 		lastFenceMs: Math.max(...fences),
 		firstStartMs: firstStart - backAt,
-		rateMs: reachedAt(starts, backAt, perWindow) - backAt,
+		rateMs: rateReachedAt(starts, backAt, perWindow) - backAt,
 		cpuToFirstStartMs: cpu.reduce((sum, ms) => sum + ms, 0) / cpu.length,
 		served: jobs.filter(({isServed}) => isServed).length / jobs.length,
 	}
--- a/packages/standins/src/bench/ways.ts
+++ b/packages/standins/src/bench/ways.ts
@@ -6,7 +6,7 @@
 import {openJournal, systemClock, type CreateResult} from "@cottonwood/core"
 import {sleep} from "../utils/sleep.js"
 
-interface WayFigures {
+interface MethodFigures {
 	readonly way: string
 	readonly perSecond: number
 	readonly writesPerSubmission: number
@@ -19,7 +19,7 @@
 /** One of eight owners that share 240 writes per second. */
 const JOURNAL_SPACING_MS = (8 * 1_000) / 240
 const RUN_MS = 4_000
-const MICROSECONDS = 1_000
+const US_PER_MS = 1_000
 
 /** Creates a store that serves writes one after another at a fixed rate. */
 function createStore() {
@@ -36,7 +36,7 @@
 	}
 }
 
-async function play(way: string, perSecond: number): Promise<WayFigures> {
+async function measure(way: string, perSecond: number): Promise<MethodFigures> {
 	const store = createStore()
 	const journal = openJournal({
 		session: "s",
@@ -54,30 +54,30 @@
 	const sends: Promise<void>[] = []
 	const count = (perSecond * RUN_MS) / 1_000
 	const startedAt = performance.now()
-	const intend = async (index: number) => {
+	const recordIntent = async (index: number) => {
 		const from = performance.now()
 		if (way === "journal") {
 			await journal.append({type: "intent", key: `yard/${index}`, digest: "0".repeat(32)})
 		} else await store.write()
-		times.recordValue(Math.round((performance.now() - from) * MICROSECONDS))
+		times.recordValue(Math.round((performance.now() - from) * US_PER_MS))
 	}
 	for (let index = 0; index < count; index++) {
 		const waitMs = startedAt + (index * 1_000) / perSecond - performance.now()
 		if (waitMs > 1) await sleep(waitMs)
-		sends.push(intend(index))
+		sends.push(recordIntent(index))
 	}
 	await Promise.all(sends)
 	return {
 		way,
 		perSecond,
 		writesPerSubmission: store.writes() / count,
-		p50Ms: times.getValueAtPercentile(50) / MICROSECONDS,
-		p99Ms: times.getValueAtPercentile(99) / MICROSECONDS,
+		p50Ms: times.getValueAtPercentile(50) / US_PER_MS,
+		p99Ms: times.getValueAtPercentile(99) / US_PER_MS,
 	}
 }
 
 for (const perSecond of [20, 100, 250, 1_000]) {
 	for (const way of ["compare-and-swap each", "journal"]) {
-		process.stdout.write(`${JSON.stringify(await play(way, perSecond))}\n`)
+		process.stdout.write(`${JSON.stringify(await measure(way, perSecond))}\n`)
 	}
 }
--- a/packages/standins/src/capacity/idle.ts
+++ b/packages/standins/src/capacity/idle.ts
@@ -20,7 +20,7 @@
 }
 
 const SETTLE_MS = 6_000
-const WATCH_MS = 15_000
+const MEASURE_MS = 15_000
 const DOMAINS = 4
 
 function loopbackBytes(): number {
@@ -47,15 +47,15 @@
 		const pids = fleet.entries.map(entry => entry.process.pid)
 		const usage = () => pids.map(readUsage)
 		const before = {usage: usage(), bytes: loopbackBytes(), calls: total(await fleet.storeCalls())}
-		await sleep(WATCH_MS)
+		await sleep(MEASURE_MS)
 		const after = {usage: usage(), bytes: loopbackBytes(), calls: total(await fleet.storeCalls())}
 		const count = pids.length
 		const cpuMs = after.usage.reduce((sum, one, i) => sum + one.cpuMs - before.usage[i]!.cpuMs, 0)
-		const seconds = WATCH_MS / 1_000
+		const seconds = MEASURE_MS / 1_000
 		return {
 			entries: count,
 			endpoints: 1,
-			cpuShare: cpuMs / WATCH_MS / count,
+			cpuShare: cpuMs / MEASURE_MS / count,
 			rssMb: Math.max(...after.usage.map(one => one.rssMb)),
 			// Each byte between two entry instances is sent by one and received by the other.
 			bytesPerSecond: (2 * (after.bytes - before.bytes)) / seconds / count,
--- a/packages/standins/src/capacity/spread.ts
+++ b/packages/standins/src/capacity/spread.ts
@@ -17,19 +17,19 @@
 const CHANGES = 15
 const POLL_MS = 10
 
-interface InForce {
+interface VersionedConfig {
 	readonly version: number
 	readonly config: object
 }
 
-const readConfig = (url: string) => getJson<InForce>(`${url}/v1/config`)
+const readConfig = (url: string) => getJson<VersionedConfig>(`${url}/v1/config`)
 
 async function waitForVersion(url: string, version: number) {
 	while ((await readConfig(url)).version < version) await sleep(POLL_MS)
 }
 
 /** Makes one change. Returns the milliseconds until all entry instances have it; throws when it is refused. */
-async function changeOnce(fleet: Fleet): Promise<number> {
+async function measureChange(fleet: Fleet): Promise<number> {
 	const [first] = fleet.entries
 	const {version, config} = await readConfig(first!.url)
 	const put = await putJson(`${first!.url}/v1/config`, config, {"if-match": String(version)})
@@ -46,7 +46,7 @@
 async function measure(fleet: Fleet, situation: string): Promise<SpreadFigures> {
 	const before = await totalCalls(fleet)
 	const times: number[] = []
-	for (let i = 0; i < CHANGES; i++) times.push(await changeOnce(fleet))
+	for (let i = 0; i < CHANGES; i++) times.push(await measureChange(fleet))
 	const storeCallsPerChange = ((await totalCalls(fleet)) - before) / CHANGES
 	times.sort((a, b) => a - b)
 	const medianMs = times[Math.floor(CHANGES / 2)]!
--- a/packages/standins/src/experiment/load.ts
+++ b/packages/standins/src/experiment/load.ts
@@ -5,7 +5,7 @@
 import type {Profile, Scenario} from "./profiles.js"
 
 /** One submission of the load. */
-export interface Work {
+export interface Submission {
 	readonly index: number
 	readonly atMs: number
 	readonly type: "request" | "once" | "job"
@@ -13,7 +13,7 @@
 	readonly runMs: readonly number[]
 }
 
-export type WorkEnd = "complete" | "refused" | "failed"
+export type Outcome = "complete" | "refused" | "failed"
 
 export interface Percentiles {
 	readonly p50: number
@@ -24,7 +24,7 @@
 export interface Figures {
 	readonly responseOverIdeal: Percentiles
 	/** Ratios by type. `once` waits for a durable write, which the ideal does not include. */
-	readonly responseOverIdealOf: Readonly<Record<Work["type"], Percentiles>>
+	readonly responseOverIdealOf: Readonly<Record<Submission["type"], Percentiles>>
 	readonly wastedPerNeeded: number
 	/** Run time of complete submissions over the smaller of the total capacity and the offered run time. */
 	readonly goodputOverCapacity: number
@@ -40,7 +40,7 @@
 }
 
 /** Sends one submission and returns its outcome. */
-export type Send = (work: Work) => Promise<WorkEnd>
+export type Send = (work: Submission) => Promise<Outcome>
 
 const RATIO_SCALE = 1_000
 const JOB_TASKS = 20
@@ -58,7 +58,7 @@
 /** The mean of `drawRunMs`. */
 const MEAN_RUN_MS = 372
 
-function offeredAt(scenario: Scenario, ms: number): number {
+function offeredLoadAt(scenario: Scenario, ms: number): number {
 	const middle = scenario.durationMs / 2
 	const isBurst = scenario.burst > 0 && ms >= middle && ms < middle + BURST_MS
 	return isBurst ? scenario.burst : scenario.load
@@ -69,33 +69,33 @@
 	profile: Profile,
 	scenario: Scenario,
 	random: () => number,
-): readonly Work[] {
-	const works: Work[] = []
+): readonly Submission[] {
+	const submissions: Submission[] = []
 	const slots = profile.executors * profile.slots
 	const cpus = profile.workers * profile.cpu
 	const exponential = (rate: number) => (-Math.log(1 - random()) / rate) * 1_000
 	let index = 0
 	let at = 0
 	while (at < scenario.durationMs) {
-		const rate = (offeredAt(scenario, at) * slots * 1_000) / MEAN_RUN_MS
+		const rate = (offeredLoadAt(scenario, at) * slots * 1_000) / MEAN_RUN_MS
 		at += exponential(rate)
 		const type = random() < ONCE_SHARE ? "once" : "request"
-		works.push({index: index++, atMs: at, type, runMs: [drawRunMs(random)]})
+		submissions.push({index: index++, atMs: at, type, runMs: [drawRunMs(random)]})
 	}
 	at = 0
 	while (at < scenario.durationMs) {
-		const tasks = (offeredAt(scenario, at) * cpus * 1_000) / MEAN_RUN_MS
+		const tasks = (offeredLoadAt(scenario, at) * cpus * 1_000) / MEAN_RUN_MS
 		at += exponential((tasks * 2 * JOB_SHARE_OF_WORK) / JOB_TASKS)
 		const runMs = Array.from({length: JOB_TASKS}, () => drawRunMs(random))
-		works.push({index: index++, atMs: at, type: "job", runMs})
+		submissions.push({index: index++, atMs: at, type: "job", runMs})
 	}
-	return works.sort((a, b) => a.atMs - b.atMs)
+	return submissions.sort((a, b) => a.atMs - b.atMs)
 }
 
 interface Tally {
 	readonly ratios: Histogram
-	readonly ratiosOf: Readonly<Record<Work["type"], Histogram>>
-	readonly ends: Record<WorkEnd, number>
+	readonly ratiosOf: Readonly<Record<Submission["type"], Histogram>>
+	readonly ends: Record<Outcome, number>
 	goodMs: number
 	offeredMs: number
 	needed: number
@@ -105,7 +105,7 @@
 
 const sum = (values: readonly number[]) => values.reduce((total, value) => total + value, 0)
 
-async function runOne(work: Work, send: Send, tally: Tally) {
+async function runOne(work: Submission, send: Send, tally: Tally) {
 	const startedAt = performance.now()
 	const end = await send(work)
 	const tookMs = performance.now() - startedAt
@@ -119,19 +119,19 @@
 	tally.ratiosOf[work.type].recordValue(ratio)
 }
 
-export interface Sums {
+export interface CounterSums {
 	readonly wasted: Readonly<Record<string, number>>
 	readonly refusals: Readonly<Record<string, number>>
 	readonly storeCalls: number
 }
 
 /** Sends all submissions at their times and returns the measurements. `readSums` is called before and after. */
-export async function playLoad(
-	works: readonly Work[],
+export async function runLoad(
+	submissions: readonly Submission[],
 	profile: Profile,
 	scenario: Scenario,
 	send: Send,
-	readSums: () => Promise<Sums>,
+	readSums: () => Promise<CounterSums>,
 ): Promise<Figures> {
 	const tally: Tally = {
 		ratios: newHistogram(),
@@ -143,13 +143,13 @@
 	}
 	const before = await readSums()
 	const startedAt = performance.now()
-	const running: Promise<void>[] = []
-	for (const work of works) {
+	const pending: Promise<void>[] = []
+	for (const work of submissions) {
 		const waitMs = startedAt + work.atMs - performance.now()
 		if (waitMs > 0) await new Promise(resolve => setTimeout(resolve, waitMs))
-		running.push(runOne(work, send, tally))
+		pending.push(runOne(work, send, tally))
 	}
-	await Promise.all(running)
+	await Promise.all(pending)
 	const tookMs = performance.now() - startedAt
 	const after = await readSums()
 	return toFigures(tally, before, after, tookMs, profile, scenario)
@@ -170,8 +170,8 @@
 
 function toFigures(
 	tally: Tally,
-	before: Sums,
-	after: Sums,
+	before: CounterSums,
+	after: CounterSums,
 	tookMs: number,
 	profile: Profile,
 	scenario: Scenario,
@@ -179,7 +179,7 @@
 	const wasted = difference(after.wasted, before.wasted)
 	const units = profile.executors * profile.slots + profile.workers * profile.cpu
 	const capacityMs = units * scenario.durationMs
-	const reachable = Math.min(capacityMs, tally.offeredMs)
+	const reachableMs = Math.min(capacityMs, tally.offeredMs)
 	return {
 		responseOverIdeal: percentilesOf(tally.ratios),
 		responseOverIdealOf: {
@@ -188,7 +188,7 @@
 			job: percentilesOf(tally.ratiosOf.job),
 		},
 		wastedPerNeeded: sum(Object.values(wasted)) / Math.max(1, tally.needed),
-		goodputOverCapacity: tally.goodMs / reachable,
+		goodputOverCapacity: tally.goodMs / reachableMs,
 		goodputOverOffered: tally.goodMs / tally.offeredMs,
 		complete: tally.ends.complete,
 		refused: tally.ends.refused,
--- a/packages/standins/src/experiment/main.ts
+++ b/packages/standins/src/experiment/main.ts
@@ -8,7 +8,7 @@
 import {request} from "undici"
 import {startFleet, type Fleet} from "../fleet/fleet.js"
 import {seededRandom} from "../utils/random.js"
-import {drawLoad, playLoad, type Figures} from "./load.js"
+import {drawLoad, runLoad, type Figures} from "./load.js"
 import {plotResults} from "./plot.js"
 import {fleetPolicy, randomPolicy} from "./policies.js"
 import {PROFILES, SCENARIOS, type Profile, type Scenario} from "./profiles.js"
@@ -72,17 +72,17 @@
 	const fleet = await startFleet({...profile.shape, entryBin})
 	try {
 		const warmUp = {...scenario, durationMs: 3_000, burst: 0, load: 0.4}
-		const choose = (plan: Scenario, salt: number) =>
+		const createPolicy = (plan: Scenario, salt: number) =>
 			policy === "random"
 				? randomPolicy(fleet, plan, seededRandom(seed + salt))
 				: fleetPolicy(fleet, plan)
-		const warm = choose(warmUp, 1_000)
+		const warmUpPolicy = createPolicy(warmUp, 1_000)
 		const warmWork = drawLoad(profile, warmUp, seededRandom(seed + 500))
-		await playLoad(warmWork, profile, warmUp, warm.send, warm.readSums)
+		await runLoad(warmWork, profile, warmUp, warmUpPolicy.send, warmUpPolicy.readSums)
 		await makeFaulty(fleet, scenario)
-		const chosen = choose(scenario, 2_000)
-		const works = drawLoad(profile, scenario, seededRandom(seed))
-		const figures = await playLoad(works, profile, scenario, chosen.send, chosen.readSums)
+		const measured = createPolicy(scenario, 2_000)
+		const submissions = drawLoad(profile, scenario, seededRandom(seed))
+		const figures = await runLoad(submissions, profile, scenario, measured.send, measured.readSums)
 		return {profile: profile.name, scenario: scenario.name, policy, seed, ...figures}
 	} finally {
 		await fleet.stop()
--- a/packages/standins/src/experiment/policies.ts
+++ b/packages/standins/src/experiment/policies.ts
@@ -6,16 +6,16 @@
 import {submitJob, submitRequest, type CallerAnswer} from "../fleet/client.js"
 import type {Fleet} from "../fleet/fleet.js"
 import type {Scenario} from "./profiles.js"
-import type {Send, Sums, Work, WorkEnd} from "./load.js"
+import type {Send, CounterSums, Submission, Outcome} from "./load.js"
 
 export interface Policy {
 	readonly send: Send
-	readonly readSums: () => Promise<Sums>
+	readonly readSums: () => Promise<CounterSums>
 }
 
 /** Counters of messages without effect. */
-const WASTED = /^(wasted\.|retry\.)/
-const REFUSAL = /^refusal\./
+const WASTED_COUNTERS = /^(wasted\.|retry\.)/
+const REFUSAL_COUNTERS = /^refusal\./
 
 function pickMatching(counters: Readonly<Record<string, number>>, pattern: RegExp) {
 	return Object.fromEntries(Object.entries(counters).filter(([name]) => pattern.test(name)))
@@ -25,21 +25,21 @@
 	for (const [name, value] of Object.entries(more)) sums[name] = (sums[name] ?? 0) + value
 }
 
-async function readFleetSums(fleet: Fleet): Promise<Sums> {
+async function readFleetSums(fleet: Fleet): Promise<CounterSums> {
 	const wasted: Record<string, number> = {}
 	const refusals: Record<string, number> = {}
 	for (const entry of fleet.entries) {
 		const res = await request(`${entry.url}/v1/counters`)
 		const {counters} = (await res.body.json()) as {counters: Record<string, number>}
-		addInto(wasted, pickMatching(counters, WASTED))
-		addInto(refusals, pickMatching(counters, REFUSAL))
+		addInto(wasted, pickMatching(counters, WASTED_COUNTERS))
+		addInto(refusals, pickMatching(counters, REFUSAL_COUNTERS))
 	}
 	const calls = await fleet.storeCalls()
 	const storeCalls = Object.values(calls).reduce((total, value) => total + value, 0)
 	return {wasted, refusals, storeCalls}
 }
 
-function endOf(answer: CallerAnswer): WorkEnd {
+function outcomeOf(answer: CallerAnswer): Outcome {
 	if (answer.status === 200 && answer.body.status === "complete") return "complete"
 	return answer.body.ran === "not run" ? "refused" : "failed"
 }
@@ -56,11 +56,11 @@
 			try {
 				if (work.type === "job") {
 					const tasks = work.runMs.map(ms => ({kind: "load", payload: {ms}}))
-					return endOf(await submitJob(url, {tasks, repeatable: true}, {...options, id}))
+					return outcomeOf(await submitJob(url, {tasks, repeatable: true}, {...options, id}))
 				}
 				const repeatable = work.type === "request"
 				const body = {endpoint: "inventory", payload: {ms: work.runMs[0]}, repeatable}
-				return endOf(await submitRequest(url, body, {...options, id}))
+				return outcomeOf(await submitRequest(url, body, {...options, id}))
 			} catch {
 				return "failed"
 			}
@@ -101,7 +101,7 @@
 		return (JSON.parse(await res.body.text()) as {type: string}).type
 	}
 
-	async function untilDone(tryOnce: () => Promise<string>): Promise<WorkEnd> {
+	async function untilDone(tryOnce: () => Promise<string>): Promise<Outcome> {
 		const until = performance.now() + scenario.deadlineMs
 		while (performance.now() < until) {
 			const result = await tryOnce().catch(() => "broken")
@@ -112,7 +112,7 @@
 		return "failed"
 	}
 
-	async function send(work: Work): Promise<WorkEnd> {
+	async function send(work: Submission): Promise<Outcome> {
 		const ends = await Promise.all(
 			work.runMs.map(ms =>
 				untilDone(() => (work.type === "job" ? tryTask(ms, scenario.deadlineMs) : tryRequest(ms))),
