--- a/packages/standins/test/cancelled.test.ts
+++ b/packages/standins/test/cancelled.test.ts
@@ -1,5 +1,5 @@
 /**
- * Cancelled jobs on processes: whatever is late or lost, nothing of them starts or goes on once the cancelling was acknowledged.
+ * Cancellation on real processes: no task of a job starts or keeps running after the cancellation was acknowledged.
  */
 import {askJob, handIn} from "@cottonwood/standins"
 import type {Edge} from "@cottonwood/standins"
@@ -8,12 +8,11 @@
 import {startLeasedWorld, type LeasedTestWorld} from "./support/leased-world.js"
 
 const sleep = (ms: number) => new Promise<void>(resolve => setTimeout(resolve, ms))
-/** From the contract: no start later than this after the acknowledgement, and no run much longer. */
+/** Contract limit after the acknowledgement for starts and runs of the job. */
 const CANCEL_MS = 4_000
 const STOP_GRACE_MS = 50
-/** Timers here, and the way of an order. */
+/** Allowance for timers and the delivery of an order. */
 const SLACK_MS = 250
-/** That an executor grants. */
 const LONGEST_LEASE_MS = 1_000
 const LONG_MS = 30_000
 
@@ -44,7 +43,7 @@
 		throw new Error(`${id} was not accepted`)
 	}
 
-	/** Asks again and again, as callers do, until it is acknowledged. */
+	/** Repeats the cancellation until it is acknowledged. Returns all statuses. */
 	async function cancel(edge: Edge, id: string): Promise<readonly number[]> {
 		const statuses: number[] = []
 		for (let tries = 0; tries < 60; tries++) {
@@ -64,10 +63,7 @@
 		}
 	}
 
-	/*
-	 * The answers of the writes get lost, so the acknowledgement waits for the store to be asked again. What runs is stopped at
-	 * once all the same, and nothing of the job is begun while it waits.
-	 */
+	/* Guards against runs that go on until the acknowledgement, which lost store answers delay. */
 	it("runs no more while its acknowledgement is waited for", async () => {
 		const id = newId()
 		await accept(world.edgeOf("a-1"), id, 2)
@@ -82,10 +78,7 @@
 		expect((await askJob(world.edgeOf("a-2"), id)).body).to.eql({state: "cancelled"})
 	})
 
-	/*
-	 * Executors leave starts unanswered and carry them out after the cancelling was acknowledged, and hear no stop, which they would
-	 * answer by refusing the start. Nobody renews what is not wanted, so the lease that came with the order ends it.
-	 */
+	/* Guards against late starts that outlive their first lease when the stop order is lost. */
 	it("is over soon where an executor starts it late and hears no stop", async () => {
 		const lateMs = 600
 		for (const hosted of world.platform.executors) {
@@ -97,7 +90,7 @@
 		await cancel(world.edgeOf("a-1"), id)
 		await until("a late start", () => starts() > 0, lateMs + 1_000)
 		await sleep(LONGEST_LEASE_MS + STOP_GRACE_MS + SLACK_MS)
-		// From then on at any time: each order that was sent is carried out within these looks.
+		// Every order that was sent is carried out within these two seconds.
 		const seen = new Set<number>()
 		for (let look = 0; look < 100; look++) {
 			seen.add(runs())
@@ -106,7 +99,7 @@
 		expect([...seen]).to.eql([0])
 	})
 
-	/* Nobody is left who knows of the run but the executor, the store, and whoever places next. */
+	/* Guards against runs that a new placer does not stop after the first placer was killed. */
 	it("is stopped though whoever started it is gone", async () => {
 		const id = newId()
 		await accept(world.edgeOf("a-1"), id, 2)
--- a/packages/standins/test/configuration.test.ts
+++ b/packages/standins/test/configuration.test.ts
@@ -1,5 +1,5 @@
 /**
- * Versions of the configuration on real instances, whatever the way to the store does meanwhile.
+ * Configuration versions on real instances while connections to the store fail.
  */
 import {
 	HOST,
@@ -20,13 +20,13 @@
 	["a-2", "a"],
 	["b-1", "b"],
 ] as const
-/** From the contract: an acknowledged version is in force within this. */
+/** Contract limit for an acknowledged version to take effect. */
 const IN_FORCE_MS = 2_000
-/** From the contract: machines whose connections were in trouble have so much longer. */
+/** Contract limit for instances whose connections failed. */
 const IN_TOUCH_MS = 3_000
 const POLL_MS = 20
 
-/** A configuration with one queue more. */
+/** Returns a configuration with one additional queue. */
 const withQueue = (prefix: string) => ({routes: routesFor([prefix])})
 
 async function startWorld() {
@@ -50,7 +50,7 @@
 		platform,
 		fleet,
 		links: [...links.values()],
-		/** The instances that refuse calls for a queue until the time is over. */
+		/** Returns the instances that still refuse calls of the queue after `withinMs`. */
 		async refusers(prefix: string, withinMs: number): Promise<readonly string[]> {
 			const until = performance.now() + withinMs
 			for (;;) {
@@ -69,12 +69,7 @@
 }
 
 describe("a version of the configuration, on processes", () => {
-	/*
-	 * Connections to the store went silent for good, without an end, while new ones worked. Every instance waited on its watch, which
-	 * asks the store to answer within 10 s and is given up 0.9 s later, so none heard of a new version for up to
-	 * 10.9 s and no beat named one. Settled by the lines: `prefix_lost` on `fleet/` and on `op/config` 119 ms apart, as two
-	 * watches that began so far apart run out, and the version in force 9 ms later: the store had been there all the while.
-	 */
+	/* Guards against instances that wait for a watch's full timeout on a silent connection. */
 	it("is in force in time though open connections to the store went silent", async () => {
 		const world = await startWorld()
 		for (const link of world.links) link.hush()
@@ -83,11 +78,7 @@
 		await world.close()
 	})
 
-	/*
-	 * Three versions were written 60 ms apart while the store's answers took 400 ms. The answer after the first version told the two others
-	 * at once, and the older of them came into force everywhere for good. Settled by the versions in `config_in_force`
-	 * and by the calls that were refused from then on.
-	 */
+	/* Guards against keeping the older of two versions that arrive in one watch answer. */
 	it("is in force in time though it came with another one in one answer", async () => {
 		const world = await startWorld()
 		for (const link of world.links) link.delay(400)
--- a/packages/standins/test/evacuation.test.ts
+++ b/packages/standins/test/evacuation.test.ts
@@ -1,6 +1,6 @@
 /**
- * A failure domain that operators are emptying, on real instances: nothing further starts on its executors, its callers
- * are served by the other domain, and it is used again once that is taken back.
+ * Evacuation of a failure domain on real instances: nothing new starts on its executors, the other domain serves its
+ * callers, and it is used again after the evacuation ends.
  */
 import {
 	handIn,
@@ -16,7 +16,7 @@
 } from "@cottonwood/standins"
 import {expect} from "chai"
 
-/** The users' bound is 5 s; a change is heard at once, and by way of peers a few beats later. */
+/** Time for a change to reach all instances, from the store or by peers' heartbeats; the contract limit is 5 s. */
 const HEARD_WITHIN_MS = 2_000
 
 const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms))
@@ -53,7 +53,7 @@
 			.filter(({failureDomain}) => failureDomain === domain)
 			.reduce((sum, {executor}) => sum + executor.starts, 0)
 
-	/** Hands jobs in at both of the domain's instances; returns the statuses of their answers. */
+	/** Submits jobs at both instances of domain a. Returns the statuses. */
 	async function callDomainA(): Promise<readonly number[]> {
 		const edges = [edgeOf("a-1"), edgeOf("a-2"), edgeOf("a-1"), edgeOf("a-2")]
 		const answers = await Promise.all(edges.map(edge => handIn(edge, newId())))
--- a/packages/standins/test/executors-change.test.ts
+++ b/packages/standins/test/executors-change.test.ts
@@ -1,14 +1,14 @@
 /**
- * Executors that a task crashes, and executors whose room shrinks under what runs there, on real processes.
+ * Executors that a task crashes or that lose capacity while tasks run, on real processes.
  */
 import {handIn, type HostedExecutor} from "@cottonwood/standins"
 import {expect} from "chai"
 import {startLeasedWorld, type LeasedTestWorld} from "./support/leased-world.js"
 
 const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms))
-/** An executor that has crashed is back within this, and has been heard by its placer. */
+/** Time for a crashed executor to return and for its placer to notice. */
 const BACK_MS = 3_500
-/** A room that has shrunk counts so much later, by the users' bounds. */
+/** Contract limit for reduced capacity to be respected. */
 const SHRUNK_COUNTS_MS = 3_600
 
 let serial = 0
--- a/packages/standins/test/kept.test.ts
+++ b/packages/standins/test/kept.test.ts
@@ -1,5 +1,5 @@
 /**
- * Kept jobs through the program as separate processes, against the stand-in of the users' platform.
+ * Kept jobs on real processes against the platform stand-in.
  */
 import {askJob, handIn} from "@cottonwood/standins"
 import type {Edge, EdgeFleet, LeasedPlatform} from "@cottonwood/standins"
@@ -27,7 +27,7 @@
 	const edgeOf = (name: string) => world.edgeOf(name)
 	const placerOf = (domain: string) => world.placerOf(domain)
 
-	/** Hands a kept job in until it is accepted, as a caller does. */
+	/** Submits a kept job until it is accepted. */
 	async function accept(edge: Edge, id: string, options: Parameters<typeof handIn>[2] = {}) {
 		for (let tries = 0; tries < 20; tries++) {
 			const answer = await handIn(edge, id, {...options, body: KEPT})
--- a/packages/standins/test/leased-soak.test.ts
+++ b/packages/standins/test/leased-soak.test.ts
@@ -1,15 +1,15 @@
 /**
- * A short soak of the program on the stand-in of the users' platform; longer ones are run by hand.
+ * Short soaks of the program on the platform stand-in, with fixed seeds.
  */
 import {runLeasedSoak, runRoughSoak} from "@cottonwood/standins"
 import {expect} from "chai"
 import {tmpdir} from "node:os"
 import {join} from "node:path"
 
-/** A run that breaks a promise leaves its lines here, to be traced. */
+/** Folder for the records of runs with violations. */
 const KEPT_RUNS = join(tmpdir(), "cottonwood-soak")
 
-/** Prints what was played, and expects that no promise was broken and some work was done. */
+/** Prints the faults and the verdict, and expects no violation and at least one completed job. */
 function expectKept(
 	verdict: {readonly violations: readonly string[]; readonly completed: number},
 	faults: readonly string[],
@@ -44,11 +44,7 @@
 		expect(verdict.unready).to.eql([])
 	}).timeout(120_000)
 
-	/*
-	 * A task that crashes executors was started six times. Behind links a crash looks like a cut, so each of its runs counted as
-	 * one that may have ended by a crash, but for one that a placer lost without a word of it. Settled by the judge's line,
-	 * "BUDGET: ccccccccb8e996f6.0.0.0 was started 6 times", in one of three plays of this seed.
-	 */
+	/* Guards against runs that are not counted as possible crashes when a placer loses them unnoticed. */
 	it("starts no crashing task more than five times, whoever loses its runs", async () => {
 		const verdict = await runLeasedSoak({seed: 3503, connectionFaults: 3, machineFaults: 6})
 		console.log(`        ${JSON.stringify(verdict)}`)
@@ -69,9 +65,8 @@
 	}).timeout(120_000)
 
 	/*
-	 * In 3610 the stand-in judged starts by a room that had shrunk 0.4 s before: the end of an earlier shrinking ended its time.
-	 * In 3625 two kept jobs stayed pending, since their new home's placer waited for good for executors whose next lives had
-	 * answered; see the placer's own test.
+	 * Seed 3610 guards the stand-in's capacity check during overlapping shrink faults. Seed 3625 guards against kept jobs that
+	 * stay pending because a placer waits for executors that have restarted.
 	 */
 	for (const seed of [3610, 3625])
 		it(`breaks no promise with seed ${seed}, which once did`, async () => {
@@ -101,11 +96,7 @@
 		expect(verdict.completed).to.be.greaterThan(0)
 	}).timeout(120_000)
 
-	/*
-	 * No soak lost the word of a connection, and none wrote two versions before the first was heard, so none saw that a
-	 * version came late or never. On the code before, this run ends with all four instances refusing the queue of the newest
-	 * version 5 s after it was written, as seed 312 does.
-	 */
+	/* Guards against versions that take effect late or never after connections went silent. */
 	it("has every version in force while connections go silent and versions come in quick succession", async () => {
 		const faults: string[] = []
 		const verdict = await runLeasedSoak({
--- a/packages/standins/test/leased.test.ts
+++ b/packages/standins/test/leased.test.ts
@@ -1,5 +1,5 @@
 /**
- * The program on the users' platform, as separate processes against a stand-in of it.
+ * Jobs on real processes against the platform stand-in.
  */
 import {handIn, isReady} from "@cottonwood/standins"
 import type {Edge, EdgeFleet, LeasedPlatform} from "@cottonwood/standins"
@@ -8,10 +8,10 @@
 
 const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms))
 
-/** A line is written within 100 ms; the work that is under way meanwhile takes 800. */
+/** Time limit for a log line, shorter than the 800 ms of the running tasks. */
 const HEARD_WITHIN_MS = 500
 
-/** Waits until an instance has written a line of a kind; fails if it does not within the time. */
+/** Waits until an instance has logged a line of the kind, and fails after `withinMs`. */
 async function untilSaid(edge: Edge, kind: string, withinMs: number) {
 	const until = performance.now() + withinMs
 	const isSaid = () => edge.lines.some(line => line["kind"] === kind)
@@ -37,7 +37,7 @@
 	const edgeOf = (name: string) => world.edgeOf(name)
 	const anyEdge = (at: number) => fleet.edges[at % fleet.edges.length]!
 	const placerOf = (domain: string) => world.placerOf(domain)
-	/** Hands a job in as a caller does: after a true refusal it comes back, for some seconds. */
+	/** Submits a job, and again after each 503, for up to 20 seconds. */
 	async function complete(...[edge, id, options]: Parameters<typeof handIn>) {
 		const until = performance.now() + 20_000
 		for (;;) {
@@ -107,7 +107,7 @@
 		for (const {status} of answers) expect(status).to.be.oneOf([200, 502, 503])
 		for (let tries = 0; tries < 100 && placerOf("a") !== other.name; tries++) await sleep(100)
 		expect(placerOf("a")).to.equal(other.name)
-		// The callers of lost jobs come back with the same ids.
+		// The callers of lost jobs resubmit the same ids.
 		const again = await Promise.all(early.map(id => complete(other, id, {count: 2})))
 		for (const {status} of again) expect(status).to.equal(200)
 		expect(platform.violations).to.eql([])
@@ -166,7 +166,7 @@
 		const pending = handIn(edge, newId(), {count: 2, spec: {workMs: 800}})
 		await sleep(200)
 		edge.child.kill("SIGTERM")
-		// Until it has had processor time to hear of the stop it answers as before: stopped for 110 ms, it said that it was ready.
+		// The instance stays ready until it has handled the signal.
 		await untilSaid(edge, "leaving", HEARD_WITHIN_MS)
 		expect(await isReady(edge)).to.equal(false)
 		expect((await pending).status).to.equal(200)
--- a/packages/standins/test/pair-link.test.ts
+++ b/packages/standins/test/pair-link.test.ts
@@ -1,5 +1,5 @@
 /**
- * Links between two machines on loopback: what a cut holds, loses and delivers late.
+ * Links between two simulated machines on loopback: which data a cut holds back, drops or delivers late.
  */
 import {createPath, openPairLink, type PairLink, type Path} from "@cottonwood/standins"
 import {expect} from "chai"
@@ -17,7 +17,7 @@
 	let link: PairLink
 	let there: Path
 	let back: Path
-	/** What arrived: texts, and "end" for an end. */
+	/** Received texts, with "end" for a closed and "broken" for a failed connection. */
 	let arrived: string[]
 	const nears: Socket[] = []
 
--- a/packages/standins/test/placed-anew.test.ts
+++ b/packages/standins/test/placed-anew.test.ts
@@ -1,17 +1,17 @@
 /**
- * A placer is lost with a caller's job under way, and the caller waits on: its coordinator places the job anew. On processes;
- * executors judge that no task runs twice at once.
+ * Rescheduling by the coordinator on real processes, when a placer is lost while the caller of a running job waits.
+ * Executors check that no task runs twice at once.
  */
 import {handIn} from "@cottonwood/standins"
 import {expect} from "chai"
 import {RESUBMIT_MS, sleep} from "./support/late-callers.js"
 import {startScene, until, type Scene} from "./support/leased-scene.js"
 
-/** Longer than a lease: the run before would be under way when it is begun anew too early. */
+/** Longer than a lease, so that a restart that comes too early overlaps with the first run. */
 const WORK_MS = 2_500
-/** Everybody has heard the placers after this: two beats. */
+/** Two heartbeats, after which all instances know the placers. */
 const BEATS_MS = 450
-/** A stream whose other side says nothing is noticed within this. */
+/** Time within which a silent stream is detected. */
 const NOTICED_MS = 700
 
 describe("a job whose placer is lost", function () {
--- a/packages/standins/test/product.test.ts
+++ b/packages/standins/test/product.test.ts
@@ -1,5 +1,5 @@
 /**
- * The product as its users meet it: bad input, limits, the two commands, and bad settings.
+ * The product's outer behaviour on real processes: invalid input, limits, the two commands and invalid settings.
  */
 import {
 	startFleet,
@@ -83,7 +83,7 @@
 				submitRequest(
 					url,
 					{...ok, payload: "x".repeat(5 * 1024 * 1024)},
-					// The instance may close the connection, so nobody else should use it.
+					// The instance may close the connection, so it is not reused.
 					{dispatcher: new Agent({connections: 1})},
 				),
 			kind: "body_too_large",
@@ -280,7 +280,7 @@
 		expect(ctl("evacuate", "fd1", "--finish").status).to.equal(0)
 		expect(stateOf()).to.eql(["live"])
 		expect((await submitRequest(url, JSON.stringify(ok))).status).to.equal(200)
-		// A domain that no target has changes nothing.
+		// An evacuation of a domain without targets changes nothing.
 		expect(ctl("evacuate", "nowhere").status).to.equal(0)
 		expect((await submitRequest(url, JSON.stringify(ok))).status).to.equal(200)
 		expect(ctl("evacuate", "nowhere", "--finish").status).to.equal(0)
--- a/packages/standins/test/promises.test.ts
+++ b/packages/standins/test/promises.test.ts
@@ -1,6 +1,5 @@
 /**
- * The promises on real processes: each test brings about a failure and lets the recorded starts
- * judge.
+ * The delivery guarantees on real processes: each test injects a failure and checks the recorded starts.
  */
 import {
 	call,
@@ -242,7 +241,7 @@
 			let answered = 0
 			const caller = async (index: number) => {
 				while (!isOver) {
-					// The balancer: sends only to instances that report ready.
+					// Like a load balancer, sends only to instances that report ready.
 					const ready = fleet.entries.filter(entry => !stopping.has(entry.name))
 					const entry = ready[index++ % ready.length]!
 					const id = randomUUID()
@@ -366,10 +365,7 @@
 			for (const entry of fleet.entries) expect(await versionAt(entry.url)).to.equal(2)
 		}))
 
-	/*
-	 * The watch of a failure domain that is cut off from its peers lay on a connection which went silent: a watch was waited for up
-	 * to 25 s, as long as it asks the store to wait. Settled by the time until the version was in force there.
-	 */
+	/* Guards against a watch that waits for its full timeout on a silent connection. */
 	it("reaches a failure domain without peers whose connections to the platform went silent", () =>
 		withFleet({}, async fleet => {
 			fleet.cut("fd2", ["to peers", "from peers"])
--- a/packages/standins/test/slices.test.ts
+++ b/packages/standins/test/slices.test.ts
@@ -1,5 +1,5 @@
 /**
- * One failure domain with four instances and forty executors, of which a placer may have ten: real processes, real sockets.
+ * Slices of a failure domain on real processes: four instances, forty executors, at most ten for a placer.
  */
 import {
 	handIn,
@@ -47,7 +47,7 @@
 		})
 	const edgeOf = (name: string) => fleet.edges.findLast(edge => edge.name === name) as Edge
 
-	/** Hands jobs in at these instances in turn for so long; returns the statuses of the answers. */
+	/** Submits jobs at the instances in turn for `forMs` milliseconds. Returns the statuses, 0 for a failed call. */
 	async function load(edges: readonly Edge[], forMs: number): Promise<readonly number[]> {
 		const answers: Promise<number>[] = []
 		for (const end = performance.now() + forMs; performance.now() < end; await sleep(20)) {
@@ -58,7 +58,7 @@
 		return Promise.all(answers)
 	}
 
-	/* Jobs come from the first moment on, while one placer becomes four; none is lost, refused or run twice. */
+	/* Guards against jobs that are lost, refused or run twice while slices are added. */
 	it("grows to four slices under load", async () => {
 		const answers = load(fleet.edges, 4_000)
 		await until("four slices", () => placers().length === 4)
@@ -71,7 +71,7 @@
 		expect(starting.length, "placers that started tasks").to.equal(4)
 	})
 
-	/* A slice's placer is killed; its slice goes to an instance that is left, and the others' callers notice nothing. */
+	/* Guards against failed calls after another instance has taken over the slice of a killed placer. */
 	it("goes on when a slice's placer is killed", async () => {
 		await until("four slices", () => placers().length === 4)
 		const killed = placers()[2] as string
--- a/packages/standins/test/speeds-kept.test.ts
+++ b/packages/standins/test/speeds-kept.test.ts
@@ -1,5 +1,6 @@
 /**
- * Speeds of executors on real instances: learnt from runs, told to the store, there again after all instances have lost power.
+ * Persistent executor speeds on real instances: learned from runs, written to the store, and read back after all
+ * instances were killed.
  */
 import {handIn, startEdges, startLeasedPlatform, untilPlaced} from "@cottonwood/standins"
 import {expect} from "chai"
@@ -10,7 +11,7 @@
 	["a-2", "a"],
 ] as const
 const KEY = "speed/a"
-/** Speeds are there again so long after placing has begun, from the users' request. */
+/** Contract limit for speeds to be known again after placing has begun. */
 const KNOWN_AGAIN_MS = 500
 
 interface Told {
@@ -26,7 +27,7 @@
 		platform,
 		fleet,
 		told: () => platform.store.read(KEY) as Told | undefined,
-		/** Jobs that keep all executors busy for a while. */
+		/** Runs jobs that keep all executors busy. */
 		async run(jobs: number) {
 			for (let at = 0; at < jobs; at++) {
 				const id = (at + 1).toString(16).padStart(16, "0")
@@ -42,7 +43,7 @@
 
 describe("speeds of executors, on processes", () => {
 	it("are known again after all instances were killed", async () => {
-		// One of three executors takes three times as long. The placer learns it and tells the store; then all instances are killed.
+		// One of three executors takes three times as long.
 		const world = await startWorld({speeds: "kept"})
 		const slow = world.platform.executors[0]!
 		slow.executor.faults.slowness = 3
--- a/packages/standins/test/store-turns-away.test.ts
+++ b/packages/standins/test/store-turns-away.test.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's store turns some machines away and serves the others, or says nothing more on a connection that lost an answer.
- * On processes, each with an address of the store of its own.
+ * A store that rejects a single instance or lets a connection go silent, on real processes that each have their own
+ * address of the store.
  */
 import {askJob, handIn, startEdges, startLeasedPlatform, untilPlaced} from "@cottonwood/standins"
 import type {Edge, EdgeFleet, LeasedPlatform} from "@cottonwood/standins"
@@ -9,7 +9,7 @@
 import type {AddressInfo} from "node:net"
 
 const sleep = (ms: number) => new Promise<void>(resolve => setTimeout(resolve, ms))
-/** A registration that is not renewed has lapsed by then, and a placer that was taken for gone would be replaced. */
+/** Long enough for a registration to expire, and for a placer that is considered gone to be replaced. */
 const TURNED_AWAY_MS = 4_500
 const BACK_MS = 2_000
 
@@ -32,7 +32,7 @@
 	const doors = new Map<string, Server>()
 	const turned = new Map<string, Turn>()
 
-	/** The store's door for one machine. */
+	/** Opens the store's address for one instance. */
 	async function openDoor(name: string) {
 		const door = createServer((req, res) => {
 			const turn = turned.get(name)
@@ -84,7 +84,7 @@
 				expect(await callAll()).to.eql([200, 200, 200])
 				await sleep(150)
 			}
-			// It lives, and is heard: nobody has a reason to place in its stead.
+			// The placer's heartbeats still arrive, so no other instance takes over.
 			expect(claimOf("a").fence).to.equal(fence)
 			expect(isMember(placer.name)).to.equal(false)
 			turned.clear()
--- a/packages/standins/test/suspension.test.ts
+++ b/packages/standins/test/suspension.test.ts
@@ -1,5 +1,5 @@
 /**
- * Instances on machines that are suspended, on real processes whose steady clock stands still meanwhile.
+ * Suspended machines, simulated by real processes whose monotonic clock stops during a suspension.
  */
 import {
 	handIn,
@@ -13,10 +13,10 @@
 } from "@cottonwood/standins"
 import {expect} from "chai"
 
-/** Too short for the instance's streams to break, which would begin new ones with new readings of its clock. */
+/** Too short to break the instance's streams; new streams would bring new readings of its clock. */
 const SUSPENDED_MS = 350
 const TIMES = 5
-/** Callers come back so long after their connection broke; from the settings of the stand-in. */
+/** Delay before callers resubmit after a broken connection. */
 const RESUBMIT_MS = 1_300
 
 const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms))
@@ -46,15 +46,13 @@
 		edgeOf((platform.store.read("fleet/claim/a") as {placer: {name: string}}).placer.name)
 
 	/*
-	 * A placer's machine is suspended for 0.35 s five times, too short for a successor. A steady clock that does not count this
-	 * is 1.75 s behind from then on, while peers go by older readings of it: what they confirm lies as far ahead there, and
-	 * a run may go on beside the next one of a caller that came back. The specification finds that in 11 steps; on processes a
-	 * stream that falls silent is noticed sooner, so that the lines alone tell the difference: none without the count.
+	 * Guards against a run that outlives its caller's confirmation because the placer's monotonic clock does not count
+	 * suspensions. The `suspended` log lines show that each one was counted.
 	 */
 	it("keeps the rule by which a run is over before its caller comes back", async () => {
 		const placer = placerOfA()
 		const coordinator = edgeOf(placer.name === "a-1" ? "a-2" : "a-1")
-		// Its stream and its readings of the placer's clock are there from before.
+		// Opens the coordinator's stream, with its readings of the placer's clock, before the suspensions.
 		expect((await handIn(coordinator, "0000000000005a00")).status).to.equal(200)
 		for (let at = 0; at < TIMES; at++) {
 			placer.child.kill("SIGUSR2")
--- a/packages/standins/test/two-runs-review.test.ts
+++ b/packages/standins/test/two-runs-review.test.ts
@@ -1,8 +1,6 @@
 /**
- * What had arrived at an instance counted as read after three turns of its loop, and a call that was read later as fresh.
- * Each turn accepts one new connection (libuv 1.46). So of eight callers whose connections waited while a placer
- * was frozen, those behind the second were taken up with their whole deadline left, beside the second tries that the
- * contract allows by then: after a standstill of 800 ms their calls counted as 8 to 11 ms old.
+ * Guards against calls that a frozen placer accepts late and treats as new, while their callers' second tries already
+ * run. libuv accepts one connection per loop iteration, so eight callers spread over several iterations.
  */
 import {handIn} from "@cottonwood/standins"
 import {expect} from "chai"
@@ -12,7 +10,7 @@
 const CALLERS = 8
 const DEADLINE_MS = 400
 const WORK_MS = 1_000
-/** Little enough for all of them to run at once. */
+/** Small enough for all tasks to run at once. */
 const CPU = 2_000
 const UNDER_WAY_MS = 100
 
@@ -37,7 +35,7 @@
 		const [frozen, other] = [scene.placerOf("a"), scene.placerOf("b")]
 		frozen.child.kill("SIGSTOP")
 		const spec = {workMs: WORK_MS}
-		// They stay on the line when their deadline has passed.
+		// The callers keep their connections open after the deadline.
 		const firstTries = ids.map(id =>
 			handIn(frozen, id, {spec, cpu: CPU, deadlineMs: DEADLINE_MS}).catch(() => undefined),
 		)
--- a/packages/standins/test/two-runs.test.ts
+++ b/packages/standins/test/two-runs.test.ts
@@ -1,6 +1,6 @@
 /**
- * Two runs of one task must never go on at the same time, whichever processes stand still or die while a job
- * changes hands. Each scenario brings one moment about on real processes; executors and callers are the judges.
+ * No two runs of one task may overlap, whichever processes are paused or killed while a job changes hands. Each scenario
+ * runs on real processes and is checked from the records of executors and callers.
  */
 import {openLink} from "@cottonwood/standins"
 import type {Edge, HostedExecutor} from "@cottonwood/standins"
@@ -22,17 +22,17 @@
 	type CallSequence,
 } from "./support/late-callers.js"
 
-/** Longer than the moments that are looked at, shorter than a caller waits. */
+/** Longer than the tested pauses, shorter than a caller's deadline. */
 const WORK_MS = 1_300
-/** Everybody has heard the placers after this: two beats. */
+/** Two heartbeats, after which all instances know the placers. */
 const BEATS_MS = 450
-/** A second run is well under way after this. */
+/** Time for a second run to be in progress. */
 const UNDER_WAY_MS = 150
-/** What a frozen instance does when it wakes it has done by then; its executors are silent for 70 ms. */
+/** Time for a resumed instance to handle its pending work. */
 const WOKEN_MS = 500
-/** An instance asks each peer on a connection for a sign of life this long after the last answer. */
+/** Interval of the keepalives between instances. */
 const KEEPALIVE_MS = 300
-/** What was sent has arrived by then; a sign of life was answered, and the next one is long not due. */
+/** Time for sent data to arrive, much shorter than a keepalive interval. */
 const ARRIVED_MS = 20
 
 const TWO_DOMAINS: SceneOptions = {
@@ -52,7 +52,7 @@
 		["b-1", "b"],
 	],
 }
-/** With room for two tasks in each domain. */
+/** Each domain has capacity for two tasks. */
 const FOUR_DOMAINS: SceneOptions = {
 	instances: [
 		["a-1", "a"],
@@ -64,10 +64,10 @@
 	executorsPerDomain: 1,
 }
 
-/** Shortly before a silent peer is noticed: two keepalives, less what has passed since the last answer. */
+/** Shortly before a silent peer is detected, which takes two keepalives from the last answer. */
 const NOTICED_MS = 2 * KEEPALIVE_MS - 100
 
-/** A job of two tasks that run in two domains, neither of them that of its placer. */
+/** A job whose two tasks run in two domains other than its placer's. */
 interface HandedOut {
 	readonly id: string
 	readonly calls: CallSequence
@@ -95,13 +95,13 @@
 	const startsOf = (id: string) => scene.platform.startsOf(`${id}.0.0.0`)
 	const expectNoneTwice = () => expect(scene.platform.violations).to.eql([])
 
-	/** Instances that have called each other once keep their connection, over which a frozen one is sent the next call. */
+	/** Opens connections between instances, over which a later call reaches a frozen instance. */
 	async function warmUp(edge: Edge, count = 1) {
 		const {status} = await callOnce(edge, newId(), {count, spec: {workMs: 200}})
 		expect(status).to.equal(200)
 	}
 
-	/** Fills the first domain's room, and the third's for a while, so that the next tasks are handed to the others. */
+	/** Fills the first domain, and the third one briefly, so that the next tasks are handed to the others. */
 	async function fillRoom() {
 		const filling = {count: 2, estimateMs: 300, deadlineMs: 10_000}
 		void callOnce(scene.placerOf("a"), newId(), {...filling, spec: {workMs: 6_000}})
@@ -109,16 +109,11 @@
 		await sleep(BEATS_MS)
 	}
 
-	/*
-	 * The instance reads the call when it goes on, takes it as one that has just come, and hands it to its
-	 * placer, while the run that the caller asked for since goes on elsewhere. Whether the caller has hung up is
-	 * read too late: the stop follows the start by some 13 ms (run_ended: stopped, tookMs 12 to 17), and by
-	 * the whole deadline when the connection is still open.
-	 */
+	/* Guards against a resumed instance that treats a call from before its pause as new. */
 	for (const atDeadline of ["hangs up", "stays on the line"] satisfies AtDeadline[])
 		it(`never come of a call to an instance that was frozen, when the caller ${atDeadline}`, async () => {
 			await begin(FOUR_OF_A_DOMAIN)
-			// Several, since one that has heard no placer when it reads the call refuses it.
+			// Several instances, because one that knows no placer after the pause refuses the call.
 			const placer = scene.placerOf("a")
 			const frozen = scene.fleet.edges.filter(edge => edge.failureDomain === "a" && edge !== placer)
 			for (const {child} of frozen) child.kill("SIGSTOP")
@@ -135,10 +130,7 @@
 			expectNoneTwice()
 		})
 
-	/*
-	 * A placer that was frozen for so long has a successor, and may start nothing any more; but it hands the call in
-	 * its socket to the successor, which starts it as one that has just come (task_started there, under the second fence).
-	 */
+	/* Guards against a replaced placer that hands an old call to its successor as new. */
 	it("never come of a call to a placer that was frozen", async () => {
 		await begin(TWO_DOMAINS)
 		const id = newId()
@@ -154,12 +146,7 @@
 		expectNoneTwice()
 	})
 
-	/*
-	 * The job lies in the placer's socket. Its sender stands still as well, so nothing on the connection says
-	 * that the caller has left, and the placer, which wakes first, counts the time that is left from its reading
-	 * on. It starts the task (task_started 80 ms after it woke, its executors being silent until then) and stops
-	 * it when the sender wakes (run_ended: stopped, tookMs 80), or misses a sign of life.
-	 */
+	/* Guards against a placer that measures a job's remaining time from a late read, while the sender is paused too. */
 	it("never come of a job that a placer reads late, from an instance that stood still as well", async () => {
 		await begin(TWO_DOMAINS)
 		const id = newId()
@@ -181,7 +168,7 @@
 		expectNoneTwice()
 	})
 
-	/** Hands two tasks, one each, to the second and the fourth domain, and opens the connections over which that goes. */
+	/** Submits a job whose two tasks are handed to the second and the fourth domain, over open connections. */
 	async function handOut(): Promise<HandedOut> {
 		const caller = scene.otherOf("a")
 		const hosts = [...scene.executorsOf("b"), ...scene.executorsOf("d")]
@@ -196,7 +183,7 @@
 		const calls = callWithResubmits([caller, scene.edgeOf("c-1")], id, options)
 		await until("both other domains have a task again", areHandedOver)
 		await sleep(KEEPALIVE_MS)
-		// The silence is longest when a sign of life has just been answered.
+		// Detection takes longest right after an answered keepalive.
 		const sinceConnected = performance.now() - connectedAt
 		await sleep(KEEPALIVE_MS + ARRIVED_MS - (sinceConnected % KEEPALIVE_MS))
 		expect(areHandedOver(), "the first call still goes on").to.equal(true)
@@ -204,10 +191,8 @@
 	}
 
 	/*
-	 * The coordinator dies, so its caller comes back 1,300 ms later. The placer between stands still at that
-	 * moment and hands nothing on; those that have its tasks notice after two keepalives (up to 600 ms) that it is
-	 * silent, and renew the leases of 1,000 ms until then. As their executors hear no stop, the runs are over 1,390 to
-	 * 1,500 ms after the coordinator's death.
+	 * Guards against leases that placers renew for a silent requester until after the caller's resubmission, when executors
+	 * get no stop order.
 	 */
 	it("never come of handed tasks whose executors hear no stop, after their coordinator was killed", async () => {
 		await begin(FOUR_DOMAINS)
@@ -221,10 +206,7 @@
 		expectNoneTwice()
 	})
 
-	/*
-	 * The same with nothing lost: the placers that have the tasks stand still just before they would notice, and stop
-	 * nothing until the leases that they renewed up to then are over.
-	 */
+	/* The same failure without lost orders: the placers are paused just before they detect the silence. */
 	it("never come of handed tasks whose placers stand still in their turn, after their coordinator was killed", async () => {
 		await begin(FOUR_DOMAINS)
 		const {id, calls, caller, between} = await handOut()
@@ -239,7 +221,7 @@
 		expectNoneTwice()
 	})
 
-	/** An instance loses its power: its caller hears of a broken connection, its peers hear nothing any more. */
+	/** Simulates a power loss: the caller's connection breaks, while peers see only silence. */
 	async function loseCoordinator(): Promise<{readonly id: string; readonly calls: CallSequence}> {
 		const caller = scene.otherOf("a")
 		const link = await openLink(() => Number(caller.callers.split(":")[1]))
@@ -263,10 +245,7 @@
 		return {id, calls}
 	}
 
-	/*
-	 * The placer notices after two keepalives, up to 600 ms, and renews the lease of 1,000 ms until then; the caller is back
-	 * after 1,300 ms.
-	 */
+	/* Guards against leases that are renewed for a silent coordinator until after the caller's resubmission. */
 	it("never come of a coordinator that lost its power while an executor hears no stop", async () => {
 		await begin(TWO_DOMAINS)
 		scene.executorsOf("a").forEach(dropStopOrders)
@@ -276,7 +255,7 @@
 		expectNoneTwice()
 	})
 
-	/* Nothing is lost here, but the placer stands still just before it would notice. */
+	/* The same failure without lost orders: the placer is paused just before it detects the silence. */
 	it("never come of a coordinator that lost its power before its placer stood still", async () => {
 		await begin(TWO_DOMAINS)
 		const placer = scene.placerOf("a")
--- a/packages/standins/test/uneven-domains.test.ts
+++ b/packages/standins/test/uneven-domains.test.ts
@@ -1,6 +1,6 @@
 /**
- * A failure domain that is full beside others with room, on real instances: whole jobs go there, and none runs twice when
- * the instance that has it is gone.
+ * A full failure domain beside one with free capacity, on real instances: whole jobs move, and none runs twice when the
+ * receiving instance is killed.
  */
 import {
 	handIn,
@@ -14,11 +14,11 @@
 import {expect} from "chai"
 
 const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms))
-/** Two tasks fit on each of the domain's executors. */
+/** Executors per domain; each runs two tasks at once. */
 const EXECUTORS = 2
-/** After silence the caller comes again after so long. */
+/** Delay before callers resubmit. */
 const COME_AGAIN_MS = 1_300
-/** Lines are written this soon. */
+/** Time for log lines to arrive. */
 const LINES_MS = 200
 
 let serial = 0
@@ -50,7 +50,7 @@
 			.flatMap(({lines}) => lines)
 			.filter(line => line["kind"] === kind && line["job"] === job)
 
-	/** Takes all room of domain a for a while. */
+	/** Uses all capacity of domain a for 2.5 seconds. */
 	async function fill() {
 		const spec = {workMs: 2_500}
 		const taken = handIn(edgeOf("a-1"), newId(), {count: 2 * EXECUTORS, spec, deadlineMs: 8_000})
