--- a/packages/standins/test/cancelled.test.ts
+++ b/packages/standins/test/cancelled.test.ts
@@ -64,7 +64,7 @@
 	}
 
 	/* Guards against runs that go on until the acknowledgement, which lost store answers delay. */
-	it("runs no more while its acknowledgement is waited for", async () => {
+	it("stops all runs before a delayed acknowledgement", async () => {
 		const id = newId()
 		await accept(world.edgeOf("a-1"), id, 2)
 		await until("its runs", () => runs() === 2, 2_000)
@@ -79,7 +79,7 @@
 	})
 
 	/* Guards against late starts that outlive their first lease when the stop order is lost. */
-	it("is over soon where an executor starts it late and hears no stop", async () => {
+	it("ends soon after a late start when the stop order is lost", async () => {
 		const lateMs = 600
 		for (const hosted of world.platform.executors) {
 			hosted.executor.faults.lateStarts = {count: 10, delayMs: lateMs}
@@ -100,7 +100,7 @@
 	})
 
 	/* Guards against runs that a new placer does not stop after the first placer was killed. */
-	it("is stopped though whoever started it is gone", async () => {
+	it("is stopped after its placer was killed", async () => {
 		const id = newId()
 		await accept(world.edgeOf("a-1"), id, 2)
 		await until("its runs", () => runs() === 2, 2_000)
--- a/packages/standins/test/configuration.test.ts
+++ b/packages/standins/test/configuration.test.ts
@@ -68,9 +68,9 @@
 	}
 }
 
-describe("a version of the configuration, on processes", () => {
+describe("a configuration version on real instances", () => {
 	/* Guards against instances that wait for a watch's full timeout on a silent connection. */
-	it("is in force in time though open connections to the store went silent", async () => {
+	it("takes effect in time after open connections to the store went silent", async () => {
 		const world = await startWorld()
 		for (const link of world.links) link.hush()
 		world.platform.putConfig(2, withQueue("/late/"))
@@ -79,7 +79,7 @@
 	})
 
 	/* Guards against keeping the older of two versions that arrive in one watch answer. */
-	it("is in force in time though it came with another one in one answer", async () => {
+	it("takes effect in time when one answer contains several versions", async () => {
 		const world = await startWorld()
 		for (const link of world.links) link.delay(400)
 		await sleep(500)
--- a/packages/standins/test/evacuation.test.ts
+++ b/packages/standins/test/evacuation.test.ts
@@ -25,7 +25,7 @@
 let serial = 0
 const newId = () => (++serial + 0xeca000).toString(16).padStart(16, "0")
 
-describe("a failure domain that is emptied, on real instances", () => {
+describe("an evacuated failure domain on real instances", () => {
 	let platform: LeasedPlatform
 	let fleet: EdgeFleet
 	const links = new Map<string, Link>()
@@ -60,7 +60,7 @@
 		return answers.map(({status}) => status)
 	}
 
-	it("starts nothing further, and what runs ends in peace; taken back, it is used again", async () => {
+	it("gets no new starts, finishes its running tasks, and is used again after the evacuation", async () => {
 		const long = handIn(edgeOf("a-1"), newId(), {spec: {workMs: 3_000}, deadlineMs: 8_000})
 		await sleep(300)
 		platform.store.write(evacuationKey("a"), {})
@@ -77,7 +77,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("is known from peers where the store cannot be reached, and so is its end", async () => {
+	it("is known from peers when the store cannot be reached, from start to end", async () => {
 		for (const name of ["a-1", "a-2"]) links.get(name)?.cut()
 		await sleep(300)
 		platform.store.write(evacuationKey("a"), {})
@@ -92,7 +92,7 @@
 		for (const name of ["a-1", "a-2"]) links.get(name)?.mend()
 	})
 
-	it("refuses at once and truthfully while all are emptied", async () => {
+	it("refuses jobs at once and never runs them while all domains are evacuated", async () => {
 		for (const domain of ["a", "b"]) platform.store.write(evacuationKey(domain), {})
 		await sleep(HEARD_WITHIN_MS)
 		const startsBefore = startsIn("a") + startsIn("b")
@@ -105,7 +105,7 @@
 		expect(await isReady(edgeOf("a-1"))).to.equal(true)
 	})
 
-	it("is served as before when no executor has the domain, or the key cannot be read", async () => {
+	it("is used as before when the evacuation names an unknown domain or is unreadable", async () => {
 		platform.store.write(evacuationKey("nowhere"), {})
 		platform.store.write(evacuationKey("a"), "not an object")
 		await sleep(HEARD_WITHIN_MS)
--- a/packages/standins/test/executors-change.test.ts
+++ b/packages/standins/test/executors-change.test.ts
@@ -14,7 +14,7 @@
 let serial = 0
 const newId = () => (++serial + 0xcc0000).toString(16).padStart(16, "0")
 
-describe("executors that change, on real instances", () => {
+describe("changing executors on real instances", () => {
 	let world: LeasedTestWorld
 
 	beforeEach(async () => {
@@ -23,7 +23,7 @@
 
 	afterEach(() => world.close())
 
-	it("are not lost for others to a task that crashes each of them, which is given up", async () => {
+	it("keep serving other jobs while a task that crashes each of them is given up", async () => {
 		const {platform, fleet} = world
 		const id = newId()
 		const spec = {workMs: 500, crashes: true}
@@ -47,7 +47,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("get no more than their room once it has shrunk, and lose nothing that runs", async () => {
+	it("get no more than their reduced capacity and keep their running tasks", async () => {
 		const {platform} = world
 		const inA = platform.executors.filter(({failureDomain}) => failureDomain === "a")
 		const long = handIn(world.edgeOf("a-1"), newId(), {
--- a/packages/standins/test/kept.test.ts
+++ b/packages/standins/test/kept.test.ts
@@ -50,7 +50,7 @@
 		throw new Error(`${id} is ${await stateOf(edge, id)}, not ${state}`)
 	}
 
-	it("runs an accepted job to its end, and tells its state everywhere", async () => {
+	it("runs an accepted job to its end and reports its state at every instance", async () => {
 		const id = newId()
 		await accept(edgeOf("a-1"), id, {count: 4, spec: {workMs: 300}})
 		expect(await stateOf(edgeOf("b-1"), id)).to.be.oneOf(["pending", "running"])
@@ -60,7 +60,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("is one job though it is handed in everywhere at once, and again after its end", async () => {
+	it("runs one job for one id submitted at every instance at once, and again after its end", async () => {
 		const id = newId()
 		await Promise.all(fleet.edges.map(edge => accept(edge, id, {count: 2})))
 		await untilState(edgeOf("a-1"), id, "completed")
@@ -69,7 +69,7 @@
 		for (let at = 0; at < 2; at++) expect(platform.startsOf(`${id}.0.0.${at}`)).to.equal(1)
 	})
 
-	it("finishes what it accepted though every instance is killed at once", async () => {
+	it("finishes accepted jobs after every instance was killed at once", async () => {
 		const ids = Array.from({length: 6}, newId)
 		const first = [...fleet.edges]
 		await Promise.all(
@@ -85,7 +85,7 @@
 		expect(platform.violations).to.eql([])
 	}).timeout(60_000)
 
-	it("does not run again what was done before its placer was killed", async () => {
+	it("does not rerun a completed job after its placer was killed", async () => {
 		const id = newId()
 		await accept(edgeOf("a-1"), id, {count: 2, spec: {workMs: 100}})
 		await untilState(edgeOf("a-1"), id, "completed")
@@ -110,7 +110,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("cancels at any instance: the state says so, and nothing runs any more", async () => {
+	it("cancels at any instance, reports the state and stops all runs", async () => {
 		const id = newId()
 		await accept(edgeOf("a-1"), id, {count: 3, spec: {workMs: 30_000}})
 		await sleep(200)
@@ -122,7 +122,7 @@
 		expect((await askJob(edgeOf("b-1"), newId(), "DELETE")).status).to.equal(410)
 	})
 
-	it("says that it cannot keep a job while the store is away, and never runs it", async () => {
+	it("refuses a kept job while the store is unavailable, and never runs it", async () => {
 		platform.store.faults.down = "busy"
 		await sleep(1_000)
 		const id = newId()
--- a/packages/standins/test/leased-soak.test.ts
+++ b/packages/standins/test/leased-soak.test.ts
@@ -21,7 +21,7 @@
 }
 
 describe("soak on the users' platform", () => {
-	it("breaks no promise under a few faults of a fixed seed", async () => {
+	it("violates no guarantee under a few faults of a fixed seed", async () => {
 		const faults: string[] = []
 		const verdict = await runLeasedSoak({
 			seed: 205,
@@ -32,7 +32,7 @@
 		expectKept(verdict, faults)
 	}).timeout(120_000)
 
-	it("breaks no promise while instances are cut off, stand still and are lost together", async () => {
+	it("violates no guarantee while instances are cut off, paused and lost together", async () => {
 		const faults: string[] = []
 		const verdict = await runRoughSoak({
 			seed: 1,
@@ -51,7 +51,7 @@
 		expect(verdict.violations).to.eql([])
 	}).timeout(120_000)
 
-	it("breaks no promise while domains are emptied, executors shrink or crash, and machines are suspended", async () => {
+	it("violates no guarantee while domains are evacuated, executors shrink or crash, and machines are suspended", async () => {
 		const faults: string[] = []
 		const verdict = await runRoughSoak({
 			seed: 34,
@@ -69,14 +69,14 @@
 	 * stay pending because a placer waits for executors that have restarted.
 	 */
 	for (const seed of [3610, 3625])
-		it(`breaks no promise with seed ${seed}, which once did`, async () => {
+		it(`violates no guarantee with seed ${seed}, a past failure`, async () => {
 			const plan = {count: 8, connectionFaults: 2, machineFaults: 5, callers: 40}
 			const verdict = await runRoughSoak({seed, ...plan, keepIn: KEPT_RUNS})
 			console.log(`        ${JSON.stringify(verdict)}`)
 			expect(verdict.violations).to.eql([])
 		}).timeout(120_000)
 
-	it("runs no task twice while machines are lost without a word and placers lose sight of executors", async () => {
+	it("runs no task twice while machines are lost silently and placers are cut off from executors", async () => {
 		const verdict = await runRoughSoak({
 			seed: 501,
 			count: 30,
@@ -97,7 +97,7 @@
 	}).timeout(120_000)
 
 	/* Guards against versions that take effect late or never after connections went silent. */
-	it("has every version in force while connections go silent and versions come in quick succession", async () => {
+	it("applies every version while connections go silent and versions change rapidly", async () => {
 		const faults: string[] = []
 		const verdict = await runLeasedSoak({
 			seed: 335,
--- a/packages/standins/test/leased.test.ts
+++ b/packages/standins/test/leased.test.ts
@@ -64,7 +64,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("uses the other domain's room for a job that its own cannot hold", async () => {
+	it("uses the other domain's capacity for a job too large for its own", async () => {
 		const id = newId()
 		const answer = await complete(edgeOf("a-1"), id, {count: 12, spec: {workMs: 400}})
 		expect(answer.status).to.equal(200)
@@ -74,7 +74,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("refuses what it cannot serve, and never runs it", async () => {
+	it("refuses unsupported and malformed jobs and never runs them", async () => {
 		const scheduled = newId()
 		const answer = await handIn(edgeOf("a-1"), scheduled, {body: {times: 3}})
 		expect(answer.status).to.equal(503)
@@ -85,7 +85,7 @@
 		expect(malformed.status).to.equal(400)
 	})
 
-	it("goes on while the store is away", async () => {
+	it("keeps serving while the store is unavailable", async () => {
 		platform.store.faults.down = "silent"
 		const answers = []
 		for (let at = 0; at < 20; at++) {
@@ -113,7 +113,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("starts a task once though the answers to starts are lost or late", async () => {
+	it("starts a task once when executors carry out starts late", async () => {
 		for (const {executor} of platform.executors)
 			executor.faults.lateStarts = {count: 2, delayMs: 2_000}
 		const ids = Array.from({length: 8}, newId)
@@ -124,7 +124,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("runs elsewhere what a crashed executor had", async () => {
+	it("reruns a crashed executor's tasks elsewhere", async () => {
 		const id = newId()
 		const pending = complete(edgeOf("b-1"), id, {count: 6, spec: {workMs: 500}})
 		await sleep(200)
@@ -145,7 +145,7 @@
 		expect(statuses.filter(state => state === "completed").length).to.be.greaterThan(25)
 	})
 
-	it("stops the tasks of a caller that has left", async () => {
+	it("stops the tasks of a disconnected caller", async () => {
 		const leaving = new AbortController()
 		const id = newId()
 		const pending = handIn(edgeOf("a-2"), id, {
@@ -161,7 +161,7 @@
 		expect(running.every(count => count === 0)).to.equal(true)
 	})
 
-	it("answers what is under way before a planned stop, and is not ready meanwhile", async () => {
+	it("answers running jobs before a planned stop, and is not ready meanwhile", async () => {
 		const edge = edgeOf(placerOf("a"))
 		const pending = handIn(edge, newId(), {count: 2, spec: {workMs: 800}})
 		await sleep(200)
@@ -173,7 +173,7 @@
 		expect(await edge.exited).to.equal(0)
 	})
 
-	it("hands its runs over though executors leave the successor's first orders unanswered", async () => {
+	it("hands its runs over when executors leave the successor's first orders unanswered", async () => {
 		const placer = placerOf("a")
 		const id = newId()
 		for (const {executor} of platform.executors) {
@@ -190,7 +190,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("serves a new configuration, and refuses a queue that is gone", async () => {
+	it("applies a new configuration and refuses a removed queue", async () => {
 		platform.putConfig(2, {routes: []})
 		await sleep(500)
 		expect((await handIn(edgeOf("a-1"), newId())).status).to.equal(404)
@@ -199,14 +199,14 @@
 		expect((await handIn(edgeOf("b-1"), newId())).status).to.equal(200)
 	})
 
-	it("takes a configuration that was written while history was forgotten", async () => {
+	it("applies a configuration that was written when the store lost its history", async () => {
 		platform.putConfig(2, {routes: []})
 		platform.store.forgetHistory()
 		await sleep(800)
 		expect((await handIn(edgeOf("a-1"), newId())).status).to.equal(404)
 	})
 
-	it("writes a line for each decision, found by the job's id alone", async () => {
+	it("logs each decision under the job's id", async () => {
 		const id = newId()
 		await complete(edgeOf("a-2"), id, {count: 2})
 		await sleep(300)
--- a/packages/standins/test/pair-link.test.ts
+++ b/packages/standins/test/pair-link.test.ts
@@ -65,7 +65,7 @@
 		socket.send(text, link.port, HOST, () => socket.close())
 	}
 
-	it("passes what is sent, both ways and as datagrams", async () => {
+	it("passes data in both directions, and datagrams", async () => {
 		const {near, heard} = await open()
 		near.write("one")
 		sendDatagram("two")
@@ -74,7 +74,7 @@
 		expect(heard).to.eql(["answer to one"])
 	})
 
-	it("delivers what a closed connection sent into a cut, its end included, once mended", async () => {
+	it("delivers a closed connection's data and end after a cut is mended", async () => {
 		const {near} = await open()
 		near.write("one")
 		await sleep(50)
@@ -91,7 +91,7 @@
 		expect(arrived).to.eql(["one", "two", "end"])
 	})
 
-	it("lets what goes the other way pass when it is cut one way", async () => {
+	it("passes the other direction when one direction is cut", async () => {
 		const {near, heard} = await open()
 		back.cut("all")
 		near.write("one")
@@ -103,7 +103,7 @@
 		expect(heard).to.eql(["answer to one"])
 	})
 
-	it("breaks connections that held something, when mended so", async () => {
+	it("breaks connections with held data when the cut is mended that way", async () => {
 		const {near, heard} = await open()
 		there.cut("all")
 		near.write("one")
--- a/packages/standins/test/placed-anew.test.ts
+++ b/packages/standins/test/placed-anew.test.ts
@@ -42,7 +42,7 @@
 	}
 
 	for (const signal of ["SIGSTOP", "SIGKILL"] as const)
-		it(`is placed anew after ${signal}, sooner than its caller would be back`, async () => {
+		it(`is rescheduled after ${signal}, before its caller would resubmit`, async () => {
 			const {answer, task, caller, lostAt} = await lose(signal, true)
 			await until("its second start", () => scene.platform.startsOf(task) === 2)
 			expect(performance.now() - lostAt).to.be.lessThan(NOTICED_MS + RESUBMIT_MS)
@@ -52,7 +52,7 @@
 			expect(line).to.include({outcome: "placed anew"})
 		})
 
-	it("is answered at once when it could not be in time any more", async () => {
+	it("is answered at once when it can no longer end in time", async () => {
 		const {answer, task, lostAt} = await lose("SIGKILL", true, WORK_MS + 500)
 		expect((await answer).status).to.equal(502)
 		expect(performance.now() - lostAt).to.be.lessThan(NOTICED_MS)
--- a/packages/standins/test/product.test.ts
+++ b/packages/standins/test/product.test.ts
@@ -165,7 +165,7 @@
 		})
 	}
 
-	it("closes an id that it refused, so that a late copy does not run", async () => {
+	it("closes a refused id, so that a late copy does not run", async () => {
 		const id = randomUUID()
 		const body = {tasks: [{cpu: 17}]}
 		await submitJob(url, body, {id})
@@ -173,13 +173,13 @@
 		expect(again.body).to.include({kind: "cannot_run", ran: "not run"})
 	})
 
-	it("refuses a request for which there is no executor at once, with a time to come back", async () => {
+	it("refuses a request without an executor at once, with a retry time", async () => {
 		const answer = await submitRequest(url, {...ok, endpoint: "empty"})
 		expect(answer.body).to.include({kind: "no_capacity", ran: "not run"})
 		expect(answer.headers["retry-after"]).to.not.equal(undefined)
 	})
 
-	it("answers a flood of headers with 431 and goes on", async () => {
+	it("answers oversized headers with 431 and keeps serving", async () => {
 		const status = await new Promise<string>((resolve, reject) => {
 			const socket = connect(Number(new URL(url).port), "127.0.0.1")
 			socket.write(
@@ -192,7 +192,7 @@
 		expect((await submitRequest(url, ok)).status).to.equal(200)
 	})
 
-	it("goes on when a caller leaves in the middle, and a resubmission gets the answer", async () => {
+	it("completes a disconnected caller's request, and a resubmission gets the answer", async () => {
 		const id = randomUUID()
 		const slow = {...ok, payload: {ms: 300}}
 		await submitRequest(url, slow, {id, patienceMs: 60}).catch(() => undefined)
@@ -230,7 +230,7 @@
 			encoding: "utf8",
 		})
 
-	it("has a command that submits, asks, lists and explains", () => {
+	it("has a command that submits, queries, lists and explains", () => {
 		const id = randomUUID()
 		const file = writeJson("job.json", {tasks: [{payload: {ms: 5, value: "x"}}]})
 		const submitted = ctl("submit", file, "--id", id, "--json")
@@ -246,7 +246,7 @@
 		}
 	})
 
-	it("has a command for the configuration that tells a loser who won", () => {
+	it("has a configuration command that reports the winner of a conflict", () => {
 		const current = JSON.parse(ctl("config", "get", "--json").stdout) as {
 			version: number
 			config: object
@@ -267,7 +267,7 @@
 		expect(refused.stderr).to.match(/teams.x.weight/)
 	})
 
-	it("has a command that empties a failure domain, and takes it back", async () => {
+	it("has a command that evacuates a failure domain and ends the evacuation", async () => {
 		const stateOf = () =>
 			(JSON.parse(ctl("endpoints", "--json").stdout) as {state: string}[]).map(({state}) => state)
 		expect(ctl("evacuate", "fd1").stdout).to.contain("fd1")
@@ -321,7 +321,7 @@
 			env: {...process.env, ...env},
 		})
 
-	it("are checked and printed with their defaults and the environment's words", () => {
+	it("are checked and printed with defaults and environment overrides", () => {
 		expect(check(good).status).to.equal(0)
 		const printed = check(good, {COTTONWOOD_HTTP_PORT: "7500"}, "--print-settings")
 		const settings = JSON.parse(printed.stdout) as {http: {port: number}; timings: object}
@@ -329,7 +329,7 @@
 		expect(settings.timings).to.include({leaseTtlMs: 4000})
 	})
 
-	it("are refused with path and cause when they do not hold", () => {
+	it("are refused with path and cause when invalid", () => {
 		const refused = (settings: unknown) => {
 			const run = check(settings)
 			expect(run.status).to.equal(2)
--- a/packages/standins/test/promises.test.ts
+++ b/packages/standins/test/promises.test.ts
@@ -108,7 +108,7 @@
 			expect(reused.status).to.equal(422)
 		}))
 
-	it("after the owner was killed gets the recorded answer or the truth", () =>
+	it("gets the recorded answer or a true outcome after the owner was killed", () =>
 		withFleet({}, async fleet => {
 			const ids = Array.from({length: 24}, () => randomUUID())
 			const [first, second] = fleet.entries
@@ -132,7 +132,7 @@
 		})),
 	})
 
-	it("fails whole, naming task and cause, when a worker dies in the middle", () =>
+	it("fails as a whole, naming task and cause, when a worker dies while it runs", () =>
 		withFleet({workersPerDomain: 1, failureDomains: ["fd1"], entriesPerDomain: 2}, async fleet => {
 			const id = randomUUID()
 			const answer = submitJob(fleet.entries[0]!.url, job(10, 1_500), {id})
@@ -145,7 +145,7 @@
 			expect(body.detail).to.match(/^task \d+: .*fd1-worker-1/)
 		}))
 
-	it("that is repeatable is complete although a worker dies", () =>
+	it("that is repeatable completes although a worker dies", () =>
 		withFleet({workersPerDomain: 3, failureDomains: ["fd1"]}, async fleet => {
 			const id = randomUUID()
 			const answer = submitJob(fleet.entries[0]!.url, job(12, 800, {repeatable: true}), {id})
@@ -156,7 +156,7 @@
 			expect(body.value).to.deep.equal(Array.from({length: 12}, (_, i) => i))
 		}))
 
-	it("of which one task fails is answered as failed, and the rest is stopped", () =>
+	it("is answered as failed when one task fails, and its other tasks are stopped", () =>
 		withFleet({failureDomains: ["fd1"]}, async fleet => {
 			const tasks = job(5, 3_000).tasks
 			const failing = {tasks: [...tasks, {kind: "check", payload: {ms: 50, fail: true}}]}
@@ -165,7 +165,7 @@
 			expect(body.detail).to.match(/^task 5: /)
 		}))
 
-	it("that is cancelled gives its slots back and tells the truth", () =>
+	it("that is cancelled releases its slots and reports its outcome", () =>
 		withFleet({failureDomains: ["fd1"]}, async fleet => {
 			const [entry, other] = fleet.entries
 			const id = randomUUID()
@@ -182,7 +182,7 @@
 describe("an endpoint's answer", function () {
 	this.timeout(60_000)
 	for (const answer of ["truncated", "crossed", "cut"] as const) {
-		it(`that is ${answer} is not taken, and the request does not run again`, () =>
+		it(`that is ${answer} is rejected, and the request does not run again`, () =>
 			withFleet(
 				{failureDomains: ["fd1"], executorsPerDomain: 1, entriesPerDomain: 1},
 				async fleet => {
@@ -201,7 +201,7 @@
 	this.timeout(60_000)
 	for (const quiet of [true, false]) {
 		const source = quiet ? "its own refusal" : "the list"
-		it(`gets nothing new once ${source} says that it leaves`, () =>
+		it(`gets no new requests once ${source} reports that it is leaving`, () =>
 			withFleet({failureDomains: ["fd1"], executorsPerDomain: 2}, async fleet => {
 				const leaving = `http://127.0.0.1:${fleet.executors[0]!.port}`
 				const send = (count: number) =>
@@ -233,7 +233,7 @@
 describe("a planned stop", function () {
 	this.timeout(90_000)
 
-	it("of each instance in turn cuts and refuses nothing", () =>
+	it("of each instance in turn interrupts and refuses no request", () =>
 		withFleet({}, async fleet => {
 			let isOver = false
 			const stopping = new Set<string>()
@@ -277,10 +277,10 @@
 		}))
 })
 
-describe("what is served when cut off", function () {
+describe("service during network cuts", function () {
 	this.timeout(60_000)
 
-	it("without the store, repeatable requests run and the rest is refused truthfully", () =>
+	it("runs repeatable requests without the store and truthfully refuses the others", () =>
 		withFleet({}, async fleet => {
 			await fleet.setFaults({down: true})
 			await sleep(3_000)
@@ -301,7 +301,7 @@
 			expect(startsOf(fleet.starts(), id)).to.deep.equal([1])
 		}))
 
-	it("a failure domain without platform and peers still runs repeatable requests", () =>
+	it("runs repeatable requests in a failure domain without store and peers", () =>
 		withFleet({}, async fleet => {
 			fleet.cut("fd2", ["platform", "to peers", "from peers"])
 			await sleep(3_000)
@@ -339,7 +339,7 @@
 		return {status: res.statusCode, body: (await res.body.json()) as Record<string, unknown>}
 	}
 
-	it("is accepted from one of two racing operators, and the loser is told who won", () =>
+	it("is accepted from one of two concurrent operators, and the other learns the winner", () =>
 		withFleet({}, async fleet => {
 			const [first, second] = fleet.entries
 			const results = await Promise.all([
@@ -376,7 +376,7 @@
 			for (const entry of fleet.entries) expect(await versionAt(entry.url)).to.equal(2)
 		}))
 
-	it("whose acceptance was lost is found again by reading back", () =>
+	it("is read back when the answer to its acceptance was lost", () =>
 		withFleet({}, async fleet => {
 			await fleet.setFaults({loseAnswers: 0.6})
 			let accepted = 0
--- a/packages/standins/test/slices.test.ts
+++ b/packages/standins/test/slices.test.ts
@@ -72,7 +72,7 @@
 	})
 
 	/* Guards against failed calls after another instance has taken over the slice of a killed placer. */
-	it("goes on when a slice's placer is killed", async () => {
+	it("keeps serving after a slice's placer is killed", async () => {
 		await until("four slices", () => placers().length === 4)
 		const killed = placers()[2] as string
 		edgeOf(killed).child.kill("SIGKILL")
--- a/packages/standins/test/speeds-kept.test.ts
+++ b/packages/standins/test/speeds-kept.test.ts
@@ -65,7 +65,7 @@
 		await world.close()
 	})
 
-	it("are neither written nor read where that is not switched on", async () => {
+	it("are neither written nor read unless enabled", async () => {
 		const world = await startWorld({})
 		await world.run(8)
 		await new Promise(resolve => setTimeout(resolve, 2_500))
--- a/packages/standins/test/store-turns-away.test.ts
+++ b/packages/standins/test/store-turns-away.test.ts
@@ -24,7 +24,7 @@
 let serial = 0
 const newId = () => (++serial + 0xaba000).toString(16).padStart(16, "0")
 
-describe("a store that turns a machine away", function () {
+describe("a store that rejects an instance", function () {
 	this.timeout(40_000)
 	const names = [["a-1", "a"] as const, ["a-2", "a"] as const, ["b-1", "b"] as const]
 	let platform: LeasedPlatform
@@ -76,7 +76,7 @@
 	}
 
 	for (const [way, turn] of Object.entries(WAYS))
-		it(`${way} is missed by nobody's jobs: a placer goes on, and registers again`, async () => {
+		it(`${way} fails no job: the placer goes on and registers again`, async () => {
 			const {fence, placer} = claimOf("a")
 			turned.set(placer.name, turn)
 			const until = performance.now() + TURNED_AWAY_MS
@@ -94,7 +94,7 @@
 			expect(platform.violations).to.eql([])
 		})
 
-	it("after a lost answer is asked again over another connection", async () => {
+	it("is called again over another connection after a lost answer", async () => {
 		const id = newId()
 		platform.store.faults.loseAnswers = 1
 		const edge = fleet.edges[0] as Edge
--- a/packages/standins/test/suspension.test.ts
+++ b/packages/standins/test/suspension.test.ts
@@ -49,7 +49,7 @@
 	 * Guards against a run that outlives its caller's confirmation because the placer's monotonic clock does not count
 	 * suspensions. The `suspended` log lines show that each one was counted.
 	 */
-	it("keeps the rule by which a run is over before its caller comes back", async () => {
+	it("ends a run before its caller may resubmit", async () => {
 		const placer = placerOfA()
 		const coordinator = edgeOf(placer.name === "a-1" ? "a-2" : "a-1")
 		// Opens the coordinator's stream, with its readings of the placer's clock, before the suspensions.
--- a/packages/standins/test/two-runs-review.test.ts
+++ b/packages/standins/test/two-runs-review.test.ts
@@ -14,13 +14,13 @@
 const CPU = 2_000
 const UNDER_WAY_MS = 100
 
-describe("two runs of one task, of many callers", function () {
+describe("overlapping runs of one task, with many callers", function () {
 	this.timeout(20_000)
 	let scene: Scene
 
 	afterEach(() => scene.close())
 
-	it("whose connections waited at a placer that was frozen", async () => {
+	it("never come from connections that waited at a frozen placer", async () => {
 		scene = await startScene({
 			instances: [
 				["a-1", "a"],
--- a/packages/standins/test/two-runs.test.ts
+++ b/packages/standins/test/two-runs.test.ts
@@ -81,7 +81,7 @@
 let serial = 0
 const newId = () => (++serial + 0xdef000).toString(16).padStart(16, "0")
 
-describe("two runs of one task", function () {
+describe("overlapping runs of one task", function () {
 	this.timeout(20_000)
 	let scene: Scene
 
@@ -111,7 +111,7 @@
 
 	/* Guards against a resumed instance that treats a call from before its pause as new. */
 	for (const atDeadline of ["hangs up", "stays on the line"] satisfies AtDeadline[])
-		it(`never come of a call to an instance that was frozen, when the caller ${atDeadline}`, async () => {
+		it(`never come from a call to a frozen instance, when the caller ${atDeadline}`, async () => {
 			await begin(FOUR_OF_A_DOMAIN)
 			// Several instances, because one that knows no placer after the pause refuses the call.
 			const placer = scene.placerOf("a")
@@ -131,7 +131,7 @@
 		})
 
 	/* Guards against a replaced placer that hands an old call to its successor as new. */
-	it("never come of a call to a placer that was frozen", async () => {
+	it("never come from a call to a frozen placer", async () => {
 		await begin(TWO_DOMAINS)
 		const id = newId()
 		const frozen = scene.placerOf("a")
@@ -147,7 +147,7 @@
 	})
 
 	/* Guards against a placer that measures a job's remaining time from a late read, while the sender is paused too. */
-	it("never come of a job that a placer reads late, from an instance that stood still as well", async () => {
+	it("never come from a job that a placer reads late, from an instance that was paused as well", async () => {
 		await begin(TWO_DOMAINS)
 		const id = newId()
 		const placer = scene.placerOf("a")
@@ -194,7 +194,7 @@
 	 * Guards against leases that placers renew for a silent requester until after the caller's resubmission, when executors
 	 * get no stop order.
 	 */
-	it("never come of handed tasks whose executors hear no stop, after their coordinator was killed", async () => {
+	it("never come from handed-over tasks whose executors get no stop order, after their coordinator was killed", async () => {
 		await begin(FOUR_DOMAINS)
 		const {id, calls, caller, between, hosts} = await handOut()
 		hosts.forEach(dropStopOrders)
@@ -207,7 +207,7 @@
 	})
 
 	/* The same failure without lost orders: the placers are paused just before they detect the silence. */
-	it("never come of handed tasks whose placers stand still in their turn, after their coordinator was killed", async () => {
+	it("never come from handed-over tasks whose placers are paused in turn, after their coordinator was killed", async () => {
 		await begin(FOUR_DOMAINS)
 		const {id, calls, caller, between} = await handOut()
 		between.child.kill("SIGSTOP")
@@ -246,7 +246,7 @@
 	}
 
 	/* Guards against leases that are renewed for a silent coordinator until after the caller's resubmission. */
-	it("never come of a coordinator that lost its power while an executor hears no stop", async () => {
+	it("never come from a coordinator's power loss when an executor gets no stop order", async () => {
 		await begin(TWO_DOMAINS)
 		scene.executorsOf("a").forEach(dropStopOrders)
 		const {id, calls} = await loseCoordinator()
@@ -256,7 +256,7 @@
 	})
 
 	/* The same failure without lost orders: the placer is paused just before it detects the silence. */
-	it("never come of a coordinator that lost its power before its placer stood still", async () => {
+	it("never come from a coordinator's power loss before its placer is paused", async () => {
 		await begin(TWO_DOMAINS)
 		const placer = scene.placerOf("a")
 		const {id, calls} = await loseCoordinator()
@@ -268,7 +268,7 @@
 		expectNoneTwice()
 	})
 
-	it("never come of a job that a placer reads late, from an instance that was killed", async () => {
+	it("never come from a job that a placer reads late, from a killed instance", async () => {
 		await begin(TWO_DOMAINS)
 		const id = newId()
 		const placer = scene.placerOf("a")
@@ -288,7 +288,7 @@
 		expectNoneTwice()
 	})
 
-	it("never come of a task that a second placer reads late, from a first one that was killed", async () => {
+	it("never come from a task that a second placer reads late, from a killed first placer", async () => {
 		await begin(FOUR_DOMAINS)
 		const id = newId()
 		const first = scene.placerOf("a")
@@ -309,7 +309,7 @@
 		expectNoneTwice()
 	})
 
-	it("never come of a placer with callers of its own that runs by turns", async () => {
+	it("never come from a placer with its own callers that is paused repeatedly", async () => {
 		await begin(TWO_DOMAINS)
 		const slow = scene.placerOf("a")
 		const options = {spec: {workMs: WORK_MS}}
@@ -319,7 +319,7 @@
 		expectNoneTwice()
 	})
 
-	it("never come of a placer that goes on after a freeze where its successor is not obeyed yet", async () => {
+	it("never come from a resumed placer whose successor is not yet obeyed", async () => {
 		await begin(FOUR_OF_A_DOMAIN)
 		const id = newId()
 		const placer = scene.placerOf("a")
@@ -338,7 +338,7 @@
 		expectNoneTwice()
 	})
 
-	it("never come of what lay in an executor's socket through a cut of half a second", async () => {
+	it("never come from orders that an executor receives half a second late", async () => {
 		await begin(TWO_DOMAINS)
 		const ids = Array.from({length: 4}, newId)
 		const hosted = scene.executorsOf("a")[0] as HostedExecutor
--- a/packages/standins/test/uneven-domains.test.ts
+++ b/packages/standins/test/uneven-domains.test.ts
@@ -24,7 +24,7 @@
 let serial = 0
 const newId = () => (++serial + 0xd03a00).toString(16).padStart(16, "0")
 
-describe("a failure domain that is full, on real instances", () => {
+describe("a full failure domain on real instances", () => {
 	let platform: LeasedPlatform
 	let fleet: EdgeFleet
 
@@ -58,7 +58,7 @@
 		return taken
 	}
 
-	it("has its jobs run by the other domain as a whole, whichever of its instances was called", async () => {
+	it("has whole jobs run by the other domain, whichever of its instances was called", async () => {
 		const taken = fill()
 		await sleep(350)
 		for (const name of ["a-1", "a-2"]) {
@@ -75,7 +75,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("has no job begun a second time when the instance that had it is gone", async () => {
+	it("has no job started twice when the receiving instance is killed", async () => {
 		const taken = fill()
 		await sleep(350)
 		const id = newId()
