--- a/packages/standins/src/bench/bench.ts
+++ b/packages/standins/src/bench/bench.ts
@@ -1,6 +1,5 @@
 /**
- * The benchmark's cases: each runs against one entry instance and returns its figures. Nothing is
- * judged here.
+ * The cases of `npm run bench`. Each runs against one entry instance and returns its measurements.
  */
 import {build} from "hdr-histogram-js"
 import {Agent, request} from "undici"
@@ -11,7 +10,7 @@
 
 export interface BenchFigures {
 	readonly name: string
-	/** Submissions a second. */
+	/** Submissions per second. */
 	readonly perSecond: number
 	readonly startsPerSecond: number
 	readonly p50Ms: number
@@ -26,14 +25,14 @@
 export interface BenchCase {
 	readonly name: string
 	readonly startsEach: number
-	/** Sends one submission; false when its answer was not whole. */
+	/** Sends one submission. Returns whether the answer was complete. */
 	readonly send: (fleet: Fleet, dispatcher: Agent) => Promise<boolean>
 	readonly concurrency: number
-	/** Submissions a second for an open loop; without it the loop is closed. */
+	/** Submissions per second of an open loop; undefined for a closed loop. */
 	readonly rate?: number
 }
 
-const MICROSECONDS = 1_000
+const US_PER_MS = 1_000
 
 const isComplete = (answer: {readonly body: {readonly status?: string}}) =>
 	answer.body.status === "complete"
@@ -44,8 +43,8 @@
 	repeatable: true,
 }
 
-/** One request sent straight to an executor: the baseline. */
-const direct: BenchCase["send"] = async (fleet, dispatcher) => {
+/** Baseline: one request sent directly to an executor. */
+const sendDirect: BenchCase["send"] = async (fleet, dispatcher) => {
 	const {port} = fleet.executors[Math.floor(Math.random() * fleet.executors.length)]!
 	const res = await request(`http://127.0.0.1:${port}/invoke`, {
 		method: "POST",
@@ -57,7 +56,7 @@
 	return res.statusCode === 200
 }
 
-const requestCase = (repeatable: boolean): BenchCase["send"] => {
+const sendRequest = (repeatable: boolean): BenchCase["send"] => {
 	return async (fleet, dispatcher) => {
 		const body = {endpoint: "inventory", payload: {ms: 2}, repeatable}
 		const id = randomUUID()
@@ -65,31 +64,31 @@
 	}
 }
 
-const job: BenchCase["send"] = async (fleet, dispatcher) =>
+const sendJob: BenchCase["send"] = async (fleet, dispatcher) =>
 	isComplete(await submitJob(fleet.entries[0]!.url, jobBody, {id: randomUUID(), dispatcher}))
 
 export const BENCH_CASES: readonly BenchCase[] = Object.freeze([
-	{name: "straight to the executor", startsEach: 1, send: direct, concurrency: 64},
-	{name: "repeatable requests, full", startsEach: 1, send: requestCase(true), concurrency: 64},
+	{name: "straight to the executor", startsEach: 1, send: sendDirect, concurrency: 64},
+	{name: "repeatable requests, full", startsEach: 1, send: sendRequest(true), concurrency: 64},
 	{
 		name: "repeatable requests, 500/s",
 		startsEach: 1,
-		send: requestCase(true),
+		send: sendRequest(true),
 		concurrency: 64,
 		rate: 500,
 	},
-	{name: "requests run once, full", startsEach: 1, send: requestCase(false), concurrency: 64},
+	{name: "requests run once, full", startsEach: 1, send: sendRequest(false), concurrency: 64},
 	{
 		name: "requests run once, 300/s",
 		startsEach: 1,
-		send: requestCase(false),
+		send: sendRequest(false),
 		concurrency: 64,
 		rate: 300,
 	},
-	{name: `jobs of ${TASKS} tasks, full`, startsEach: TASKS, send: job, concurrency: 8},
+	{name: `jobs of ${TASKS} tasks, full`, startsEach: TASKS, send: sendJob, concurrency: 8},
 ])
 
-/** Runs one case for a while. */
+/** Runs one case for `ms` milliseconds and returns its measurements. */
 export async function runCase(fleet: Fleet, item: BenchCase, ms: number): Promise<BenchFigures> {
 	const dispatcher = new Agent({connections: item.concurrency, pipelining: 1})
 	const times = build({numberOfSignificantValueDigits: 3})
@@ -98,10 +97,10 @@
 	let done = 0
 	const sendOne = async () => {
 		const startedAt = performance.now()
-		const isWhole = await item.send(fleet, dispatcher).catch(() => false)
-		times.recordValue(Math.max(1, Math.round((performance.now() - startedAt) * MICROSECONDS)))
+		const wasComplete = await item.send(fleet, dispatcher).catch(() => false)
+		times.recordValue(Math.max(1, Math.round((performance.now() - startedAt) * US_PER_MS)))
 		done++
-		if (!isWhole) failures++
+		if (!wasComplete) failures++
 	}
 	const before = readUsage(pid)
 	const startedAt = performance.now()
@@ -129,9 +128,9 @@
 		name: item.name,
 		perSecond: (done / tookMs) * 1_000,
 		startsPerSecond: (starts / tookMs) * 1_000,
-		p50Ms: times.getValueAtPercentile(50) / MICROSECONDS,
-		p99Ms: times.getValueAtPercentile(99) / MICROSECONDS,
-		cpuUsPerStart: (cpuMs * MICROSECONDS) / starts,
+		p50Ms: times.getValueAtPercentile(50) / US_PER_MS,
+		p99Ms: times.getValueAtPercentile(99) / US_PER_MS,
+		cpuUsPerStart: (cpuMs * US_PER_MS) / starts,
 		cpuShare: cpuMs / tookMs,
 		rssMb: after.rssMb,
 		failures,
--- a/packages/standins/src/bench/jobs-bench.ts
+++ b/packages/standins/src/bench/jobs-bench.ts
@@ -1,9 +1,6 @@
 /**
- * What a job costs the fleet in processor time: real instances against the stand-in of the users' platform.
- *
- * Jobs arrive at an even rate, spread over all instances, in three shapes: many short tasks, a few long
- * ones, and two of middle length. Processor time is the operating system's account of each process, over the
- * time under load, less start.
+ * Measures the fleet's processor time per job: real instances on the platform stand-in, with jobs of three shapes
+ * arriving at an even rate. Processor time is read from the operating system, without startup and warm-up.
  */
 import {startEdges, handIn, untilPlaced, type Edge, type EdgeFleet} from "../leased/edges.js"
 import {startLeasedPlatform, type LeasedPlatform} from "../leased/platform.js"
@@ -16,7 +13,7 @@
 	readonly executorsPerDomain: number
 	readonly jobsPerSecond: number
 	readonly seconds: number
-	/** Arguments of the runtime, for a profile. */
+	/** Arguments of Node.js, e.g. for a profile. */
 	readonly nodeArgs?: readonly string[]
 }
 
@@ -24,60 +21,67 @@
 	readonly jobs: number
 	/** Jobs that were not answered with success. */
 	readonly failures: number
-	/** Processor milliseconds of all instances for each job. */
+	/** Processor time of all instances per job. */
 	readonly cpuMsPerJob: number
-	/** Of the instances that place, and of the others. */
+	/** Processor time of the placers per job. */
 	readonly placersCpuMsPerJob: number
+	/** Processor time of the other instances per job. */
 	readonly othersCpuMsPerJob: number
-	/** Processor milliseconds of all instances in a second without jobs. */
+	/** Processor time of all instances per second without jobs. */
 	readonly idleCpuMsPerSecond: number
+	/** Percentiles of the answer time, less the time of one task. */
 	readonly p50Ms: number
 	readonly p95Ms: number
 }
 
-interface Shape {
+interface JobShape {
 	readonly weight: number
 	readonly count: number
 	readonly workMs: number
 }
 
-/** The mix of the users' sheets: kinds of request by their share of arrivals. */
-const SHAPES: readonly Shape[] = [
+/** Job shapes by share of arrivals. */
+const SHAPES: readonly JobShape[] = [
 	{weight: 0.25, count: 8, workMs: 60},
 	{weight: 0.04, count: 4, workMs: 900},
 	{weight: 0.71, count: 2, workMs: 200},
 ]
 const IDLE_MS = 3_000
-/** The first calls of a process are slower: its code is compiled meanwhile. */
+/** Keeps the compilation of code out of the measurement. */
 const WARM_UP_MS = 3_000
 const MS_PER_S = 1_000
 
-/** Goes through the shapes by their weights, the same way in each run. */
-function shapeOf(serial: number): Shape {
+/** Returns the shape of the job, by weight and the same in each run. */
+function shapeOf(serial: number): JobShape {
 	let place = ((serial * 0.618_033_988_7) % 1) - 1e-9
 	for (const shape of SHAPES) {
 		place -= shape.weight
 		if (place < 0) return shape
 	}
-	return SHAPES[SHAPES.length - 1] as Shape
+	return SHAPES[SHAPES.length - 1] as JobShape
 }
 
-async function offer(fleet: EdgeFleet, options: JobsBenchOptions, forMs: number, prefix: string) {
+async function submitJobs(
+	fleet: EdgeFleet,
+	options: JobsBenchOptions,
+	durationMs: number,
+	prefix: string,
+) {
 	const tookMs: number[] = []
 	let failures = 0
 	const calls: Promise<void>[] = []
-	const begunAt = performance.now()
+	const startedAt = performance.now()
 	for (let serial = 0; ; serial++) {
-		const dueInMs = begunAt + (serial * MS_PER_S) / options.jobsPerSecond - performance.now()
+		const dueInMs = startedAt + (serial * MS_PER_S) / options.jobsPerSecond - performance.now()
 		if (dueInMs > 0) await sleep(dueInMs)
-		if (performance.now() - begunAt > forMs) break
+		if (performance.now() - startedAt > durationMs) break
 		const edge = fleet.edges[serial % fleet.edges.length] as Edge
 		calls.push(callOnce(edge, prefix + serial.toString(16).padStart(12, "0"), shapeOf(serial)))
 	}
 	await Promise.all(calls)
 	return {jobs: calls.length, failures, tookMs: tookMs.sort((a, b) => a - b)}
 
-	async function callOnce(edge: Edge, id: string, {count, workMs}: Shape) {
+	async function callOnce(edge: Edge, id: string, {count, workMs}: JobShape) {
 		const sentAt = performance.now()
 		const answer = await handIn(edge, id, {count, cpu: 8_000, spec: {workMs}}).catch(
 			() => undefined,
@@ -99,6 +103,7 @@
 	return fleet.edges.filter(({name}) => names.includes(name))
 }
 
+/** Runs the benchmark once. All started processes are always ended. */
 export async function runJobsBench(options: JobsBenchOptions): Promise<JobsBenchFigures> {
 	const domains = Array.from({length: options.failureDomains}, (_, at) => `d${at + 1}`)
 	const platform = await startLeasedPlatform({
@@ -115,14 +120,14 @@
 	const fleet = await startEdges(platform, names, {nodeArgs: options.nodeArgs})
 	try {
 		await untilPlaced(fleet, platform.executors.length)
-		await offer(fleet, options, WARM_UP_MS, "aaaa")
+		await submitJobs(fleet, options, WARM_UP_MS, "aaaa")
 		const beforeIdle = cpuMsOf(fleet.edges)
 		await sleep(IDLE_MS)
 		const idleCpuMs = cpuMsOf(fleet.edges) - beforeIdle
 		const placers = placersOf(fleet, platform, domains)
 		const others = fleet.edges.filter(edge => !placers.includes(edge))
 		const before = {placers: cpuMsOf(placers), others: cpuMsOf(others)}
-		const load = await offer(fleet, options, options.seconds * MS_PER_S, "bbbb")
+		const load = await submitJobs(fleet, options, options.seconds * MS_PER_S, "bbbb")
 		const placersMs = cpuMsOf(placers) - before.placers
 		const othersMs = cpuMsOf(others) - before.others
 		const at = (share: number) => load.tookMs[Math.floor(load.tookMs.length * share)] ?? 0
@@ -142,10 +147,10 @@
 	}
 }
 
-/** By SIGTERM first: a profile is written when a process ends by itself. */
+/** Sends SIGTERM first, because Node.js writes a profile only on a regular exit. */
 async function stopAll(fleet: EdgeFleet) {
 	for (const {child} of fleet.edges) child.kill("SIGTERM")
-	const patience = sleep(12 * MS_PER_S)
-	await Promise.race([Promise.all(fleet.edges.map(({exited}) => exited)), patience])
+	const timeout = sleep(12 * MS_PER_S)
+	await Promise.race([Promise.all(fleet.edges.map(({exited}) => exited)), timeout])
 	await fleet.close()
 }
--- a/packages/standins/src/bench/return-bench.ts
+++ b/packages/standins/src/bench/return-bench.ts
@@ -1,8 +1,6 @@
 /**
- * How soon a fleet serves again after all its instances were lost together: real processes on the stand-in of the users' platform.
- *
- * Jobs arrive at an even rate all the while; callers that find nobody try until their deadline, and those whose connection breaks
- * come back as the contract says. Times are counted from the start of each process, or of the last of them.
+ * Measures how soon a fleet serves again after all instances were killed together, with real processes on the platform
+ * stand-in. Jobs arrive at an even rate throughout, and callers resubmit as the contract says.
  */
 import {handIn, startEdges, untilPlaced, type Edge, type EdgeFleet} from "../leased/edges.js"
 import {startLeasedPlatform, type LeasedPlatform} from "../leased/platform.js"
@@ -14,35 +12,36 @@
 	readonly instancesPerDomain: number
 	readonly executorsPerDomain: number
 	readonly jobsPerSecond: number
-	/** For how long all are gone, in milliseconds. */
+	/** Time between the loss and the restart. */
 	readonly downMs: number
-	/** The program that is started, when not that of the build. */
+	/** Path of the program to start; this build's by default. */
 	readonly program?: string
 	readonly nodeArgs?: readonly string[]
-	/** What of placing is switched on. */
+	/** Settings of placing. */
 	readonly placing?: Readonly<Record<string, unknown>>
 }
 
-/** Milliseconds; processor time is that of one process in the mean. */
+/** Measured times, from the start of the last restarted process unless said otherwise. */
 export interface ReturnFigures {
-	/** From a process's start until it listens, in the middle of all. */
+	/** Median time from a process's own start until it listens. */
 	readonly listensMs: number
-	/** Until the first and the last claim is written, from the last process's start. */
+	/** Time until the first and the last claim is written. */
 	readonly firstClaimMs: number
 	readonly lastClaimMs: number
-	/** Until the first and the last executor obeys. */
+	/** Time until the first and the last executor has accepted its placer's fence. */
 	readonly firstFenceMs: number
 	readonly lastFenceMs: number
 	readonly firstStartMs: number
-	/** Until nine tenths of the starts a second that there were before. */
+	/** Time until the start rate reaches nine tenths of the rate before the loss. */
 	readonly rateMs: number
+	/** Mean processor time of a process until the first start. */
 	readonly cpuToFirstStartMs: number
-	/** Jobs of two seconds from the loss on that were served at all, of those that came. */
+	/** Share of the jobs of the first two seconds after the loss that were served. */
 	readonly served: number
 }
 
 const WORK_MS = 60
-const COUNT = 4
+const TASKS = 4
 const CPU = 8_000
 const DEADLINE_MS = 1_500
 const RESUBMIT_MS = 1_300
@@ -51,60 +50,67 @@
 const BEFORE_MS = 2_000
 const AFTER_MS = 4_000
 const WINDOW_MS = 200
-const RATE_SHARE = 0.9
+const RECOVERED_SHARE = 0.9
 
 type Line = Readonly<Record<string, unknown>>
 const timeOf = (line: Line) => Date.parse(String(line["timestamp"]))
-const middle = (values: readonly number[]) =>
+const medianOf = (values: readonly number[]) =>
 	[...values].sort((a, b) => a - b)[Math.floor(values.length / 2)] ?? NaN
 
-/** Calls an instance's newest life until there is an answer or the deadline has passed; a broken call comes again later. */
-async function callTillServed(edgeNow: () => Edge, id: string): Promise<boolean> {
+/**
+ * Calls an instance's newest process until there is an answer or the deadline has passed, and resubmits a failed call
+ * once. Returns whether the job was served.
+ */
+async function callUntilServed(edgeNow: () => Edge, id: string): Promise<boolean> {
 	const until = performance.now() + DEADLINE_MS
-	const job = {count: COUNT, cpu: CPU, estimateMs: WORK_MS, spec: {workMs: WORK_MS}}
-	for (let hasBroken = false; ;) {
-		const deadlineMs = hasBroken ? DEADLINE_MS : until - performance.now()
+	const job = {count: TASKS, cpu: CPU, estimateMs: WORK_MS, spec: {workMs: WORK_MS}}
+	for (let hasFailed = false; ;) {
+		const deadlineMs = hasFailed ? DEADLINE_MS : until - performance.now()
 		if (deadlineMs <= 0) return false
 		try {
 			const {status} = await handIn(edgeNow(), id, {...job, deadlineMs})
-			if (status !== 502 || hasBroken) return status === 200
+			if (status !== 502 || hasFailed) return status === 200
 		} catch (error) {
 			const wasRefused = (error as NodeJS.ErrnoException).code === "ECONNREFUSED"
 			if (wasRefused) {
 				await sleep(REFUSED_RETRY_MS)
 				continue
 			}
-			if (hasBroken) return false
+			if (hasFailed) return false
 		}
-		hasBroken = true
+		hasFailed = true
 		await sleep(RESUBMIT_MS)
 	}
 }
 
-/** Offers jobs until it is stopped; tells of each when it came and whether it was served. */
-function offer(names: readonly string[], edgeOf: (name: string) => Edge, jobsPerSecond: number) {
+/** Submits jobs until the returned function is called, which resolves to each job's arrival time and result. */
+function submitJobs(
+	names: readonly string[],
+	edgeOf: (name: string) => Edge,
+	jobsPerSecond: number,
+) {
 	const jobs: Promise<{readonly at: number; readonly isServed: boolean}>[] = []
-	const begunAt = performance.now()
-	let isOver = false
+	const startedAt = performance.now()
+	let isStopped = false
 	async function loop() {
-		for (let serial = 0; !isOver; serial++) {
-			await sleep(begunAt + (serial * 1_000) / jobsPerSecond - performance.now())
+		for (let serial = 0; !isStopped; serial++) {
+			await sleep(startedAt + (serial * 1_000) / jobsPerSecond - performance.now())
 			const name = names[serial % names.length] as string
 			const at = Date.now()
-			const call = callTillServed(() => edgeOf(name), serial.toString(16).padStart(16, "0"))
+			const call = callUntilServed(() => edgeOf(name), serial.toString(16).padStart(16, "0"))
 			jobs.push(call.then(isServed => ({at, isServed})))
 		}
 	}
 	const ended = loop()
 	return async () => {
-		isOver = true
+		isStopped = true
 		await ended
 		return Promise.all(jobs)
 	}
 }
 
-/** The end of the first window with so many starts. */
-function reachedAt(starts: readonly number[], from: number, perWindow: number): number {
+/** Returns the end of the first window with at least `perWindow` starts, or NaN when there is none. */
+function rateReachedAt(starts: readonly number[], from: number, perWindow: number): number {
 	for (let at = from; at <= from + AFTER_MS; at += 10) {
 		const count = starts.filter(time => time > at - WINDOW_MS && time <= at).length
 		if (count >= perWindow) return at
@@ -112,12 +118,12 @@
 	return NaN
 }
 
-async function loseAll(fleet: EdgeFleet, lives: readonly Edge[], downMs: number) {
-	for (const {child} of lives) child.kill("SIGKILL")
+async function killAndRestartAll(fleet: EdgeFleet, processes: readonly Edge[], downMs: number) {
+	for (const {child} of processes) child.kill("SIGKILL")
 	const lostAt = Date.now()
-	await Promise.all(lives.map(({exited}) => exited))
+	await Promise.all(processes.map(({exited}) => exited))
 	await sleep(downMs)
-	const next = await Promise.all(lives.map(edge => fleet.relaunch(edge)))
+	const next = await Promise.all(processes.map(edge => fleet.relaunch(edge)))
 	return {lostAt, next}
 }
 
@@ -133,16 +139,16 @@
 	launchedAt: ReadonlyMap<Edge, number>,
 ): Promise<ReturnFigures> {
 	const edgeOf = (name: string) => fleet.edges.findLast(edge => edge.name === name) as Edge
-	const lives = [...fleet.edges]
+	const processes = [...fleet.edges]
 	await untilPlaced(fleet, platform.executors.length)
-	const stop = offer(
-		lives.map(({name}) => name),
+	const stop = submitJobs(
+		processes.map(({name}) => name),
 		edgeOf,
 		options.jobsPerSecond,
 	)
 	await sleep(WARM_UP_MS + BEFORE_MS)
 	const before = starts.filter(time => time > Date.now() - BEFORE_MS).length
-	const {lostAt, next} = await loseAll(fleet, lives, options.downMs)
+	const {lostAt, next} = await killAndRestartAll(fleet, processes, options.downMs)
 	const backAt = Math.max(...next.map(edge => launchedAt.get(edge) as number))
 	while (!starts.some(time => time > backAt)) await sleep(2)
 	const cpu = next.map(({child}) => readUsage(child.pid as number).cpuMs)
@@ -155,20 +161,21 @@
 	const claims = timesOf(next, "placing_begun").map(at => at - backAt)
 	const fences = timesOf(next, "fence_taken").map(at => at - backAt)
 	const firstStart = starts.find(time => time > backAt) as number
-	const perWindow = (before / BEFORE_MS) * WINDOW_MS * RATE_SHARE
+	const perWindow = (before / BEFORE_MS) * WINDOW_MS * RECOVERED_SHARE
 	return {
-		listensMs: middle(listens),
+		listensMs: medianOf(listens),
 		firstClaimMs: Math.min(...claims),
 		lastClaimMs: Math.max(...claims),
 		firstFenceMs: Math.min(...fences),
 		lastFenceMs: Math.max(...fences),
 		firstStartMs: firstStart - backAt,
-		rateMs: reachedAt(starts, backAt, perWindow) - backAt,
+		rateMs: rateReachedAt(starts, backAt, perWindow) - backAt,
 		cpuToFirstStartMs: cpu.reduce((sum, ms) => sum + ms, 0) / cpu.length,
 		served: jobs.filter(({isServed}) => isServed).length / jobs.length,
 	}
 }
 
+/** Runs the benchmark once. All started processes are always ended. */
 export async function runReturnBench(options: ReturnBenchOptions): Promise<ReturnFigures> {
 	const domains = Array.from({length: options.failureDomains}, (_, at) => `d${at + 1}`)
 	const starts: number[] = []
--- a/packages/standins/src/experiment/load.ts
+++ b/packages/standins/src/experiment/load.ts
@@ -1,19 +1,19 @@
 /**
- * The load: arrivals in a seeded open loop, and the figures of what came back.
+ * The load generator of the experiment: seeded open-loop arrivals, and the measurements of their answers.
  */
 import {build, type Histogram} from "hdr-histogram-js"
 import type {Profile, Scenario} from "./profiles.js"
 
 /** One submission of the load. */
-export interface Work {
+export interface Submission {
 	readonly index: number
 	readonly atMs: number
 	readonly type: "request" | "once" | "job"
-	/** The run time of each task, in milliseconds. */
+	/** Run time of each task. */
 	readonly runMs: readonly number[]
 }
 
-export type WorkEnd = "complete" | "refused" | "failed"
+export type Outcome = "complete" | "refused" | "failed"
 
 export interface Percentiles {
 	readonly p50: number
@@ -23,12 +23,12 @@
 
 export interface Figures {
 	readonly responseOverIdeal: Percentiles
-	/** The same by type; `once` waits for a synced write that the ideal leaves out. */
-	readonly responseOverIdealOf: Readonly<Record<Work["type"], Percentiles>>
+	/** Ratios by type. `once` waits for a durable write, which the ideal does not include. */
+	readonly responseOverIdealOf: Readonly<Record<Submission["type"], Percentiles>>
 	readonly wastedPerNeeded: number
-	/** Run time of complete submissions over what the healthy capacity allows, at most 1. */
+	/** Run time of complete submissions over the smaller of the total capacity and the offered run time. */
 	readonly goodputOverCapacity: number
-	/** Run time of complete submissions over what was offered. */
+	/** Run time of complete submissions over the offered run time. */
 	readonly goodputOverOffered: number
 	readonly complete: number
 	readonly refused: number
@@ -39,8 +39,8 @@
 	readonly storeCallsPerSecond: number
 }
 
-/** Sends one submission and says how it ended. */
-export type Send = (work: Work) => Promise<WorkEnd>
+/** Sends one submission and returns its outcome. */
+export type Send = (work: Submission) => Promise<Outcome>
 
 const RATIO_SCALE = 1_000
 const JOB_TASKS = 20
@@ -49,7 +49,7 @@
 const BURST_MS = 2_000
 const MIN_RUN_MS = 50
 
-/** Run times from 50 ms to a second, a few of several seconds. */
+/** Draws run times from 50 ms to a second, with a few of two to three seconds. */
 function drawRunMs(random: () => number): number {
 	if (random() < 0.005) return 2_000 + random() * 1_000
 	return Math.min(1_000, MIN_RUN_MS - 330 * Math.log(1 - random()))
@@ -58,44 +58,44 @@
 /** The mean of `drawRunMs`. */
 const MEAN_RUN_MS = 372
 
-function offeredAt(scenario: Scenario, ms: number): number {
+function offeredLoadAt(scenario: Scenario, ms: number): number {
 	const middle = scenario.durationMs / 2
 	const isBurst = scenario.burst > 0 && ms >= middle && ms < middle + BURST_MS
 	return isBurst ? scenario.burst : scenario.load
 }
 
-/** Draws all arrivals of a run; the same seed gives the same row. */
+/** Draws all arrivals of a run, the same for the same random sequence, in the order of time. */
 export function drawLoad(
 	profile: Profile,
 	scenario: Scenario,
 	random: () => number,
-): readonly Work[] {
-	const works: Work[] = []
+): readonly Submission[] {
+	const submissions: Submission[] = []
 	const slots = profile.executors * profile.slots
 	const cpus = profile.workers * profile.cpu
 	const exponential = (rate: number) => (-Math.log(1 - random()) / rate) * 1_000
 	let index = 0
 	let at = 0
 	while (at < scenario.durationMs) {
-		const rate = (offeredAt(scenario, at) * slots * 1_000) / MEAN_RUN_MS
+		const rate = (offeredLoadAt(scenario, at) * slots * 1_000) / MEAN_RUN_MS
 		at += exponential(rate)
 		const type = random() < ONCE_SHARE ? "once" : "request"
-		works.push({index: index++, atMs: at, type, runMs: [drawRunMs(random)]})
+		submissions.push({index: index++, atMs: at, type, runMs: [drawRunMs(random)]})
 	}
 	at = 0
 	while (at < scenario.durationMs) {
-		const tasks = (offeredAt(scenario, at) * cpus * 1_000) / MEAN_RUN_MS
+		const tasks = (offeredLoadAt(scenario, at) * cpus * 1_000) / MEAN_RUN_MS
 		at += exponential((tasks * 2 * JOB_SHARE_OF_WORK) / JOB_TASKS)
 		const runMs = Array.from({length: JOB_TASKS}, () => drawRunMs(random))
-		works.push({index: index++, atMs: at, type: "job", runMs})
+		submissions.push({index: index++, atMs: at, type: "job", runMs})
 	}
-	return works.sort((a, b) => a.atMs - b.atMs)
+	return submissions.sort((a, b) => a.atMs - b.atMs)
 }
 
 interface Tally {
 	readonly ratios: Histogram
-	readonly ratiosOf: Readonly<Record<Work["type"], Histogram>>
-	readonly ends: Record<WorkEnd, number>
+	readonly ratiosOf: Readonly<Record<Submission["type"], Histogram>>
+	readonly ends: Record<Outcome, number>
 	goodMs: number
 	offeredMs: number
 	needed: number
@@ -105,7 +105,7 @@
 
 const sum = (values: readonly number[]) => values.reduce((total, value) => total + value, 0)
 
-async function runOne(work: Work, send: Send, tally: Tally) {
+async function runOne(work: Submission, send: Send, tally: Tally) {
 	const startedAt = performance.now()
 	const end = await send(work)
 	const tookMs = performance.now() - startedAt
@@ -119,19 +119,19 @@
 	tally.ratiosOf[work.type].recordValue(ratio)
 }
 
-export interface Sums {
+export interface CounterSums {
 	readonly wasted: Readonly<Record<string, number>>
 	readonly refusals: Readonly<Record<string, number>>
 	readonly storeCalls: number
 }
 
-/** Plays a load and returns its figures; `readSums` is read before and after. */
-export async function playLoad(
-	works: readonly Work[],
+/** Sends all submissions at their times and returns the measurements. `readSums` is called before and after. */
+export async function runLoad(
+	submissions: readonly Submission[],
 	profile: Profile,
 	scenario: Scenario,
 	send: Send,
-	readSums: () => Promise<Sums>,
+	readSums: () => Promise<CounterSums>,
 ): Promise<Figures> {
 	const tally: Tally = {
 		ratios: newHistogram(),
@@ -143,13 +143,13 @@
 	}
 	const before = await readSums()
 	const startedAt = performance.now()
-	const running: Promise<void>[] = []
-	for (const work of works) {
+	const pending: Promise<void>[] = []
+	for (const work of submissions) {
 		const waitMs = startedAt + work.atMs - performance.now()
 		if (waitMs > 0) await new Promise(resolve => setTimeout(resolve, waitMs))
-		running.push(runOne(work, send, tally))
+		pending.push(runOne(work, send, tally))
 	}
-	await Promise.all(running)
+	await Promise.all(pending)
 	const tookMs = performance.now() - startedAt
 	const after = await readSums()
 	return toFigures(tally, before, after, tookMs, profile, scenario)
@@ -170,8 +170,8 @@
 
 function toFigures(
 	tally: Tally,
-	before: Sums,
-	after: Sums,
+	before: CounterSums,
+	after: CounterSums,
 	tookMs: number,
 	profile: Profile,
 	scenario: Scenario,
@@ -179,7 +179,7 @@
 	const wasted = difference(after.wasted, before.wasted)
 	const units = profile.executors * profile.slots + profile.workers * profile.cpu
 	const capacityMs = units * scenario.durationMs
-	const reachable = Math.min(capacityMs, tally.offeredMs)
+	const reachableMs = Math.min(capacityMs, tally.offeredMs)
 	return {
 		responseOverIdeal: percentilesOf(tally.ratios),
 		responseOverIdealOf: {
@@ -188,7 +188,7 @@
 			job: percentilesOf(tally.ratiosOf.job),
 		},
 		wastedPerNeeded: sum(Object.values(wasted)) / Math.max(1, tally.needed),
-		goodputOverCapacity: tally.goodMs / reachable,
+		goodputOverCapacity: tally.goodMs / reachableMs,
 		goodputOverOffered: tally.goodMs / tally.offeredMs,
 		complete: tally.ends.complete,
 		refused: tally.ends.refused,
--- a/packages/standins/src/soak/connection-faults.ts
+++ b/packages/standins/src/soak/connection-faults.ts
@@ -1,10 +1,10 @@
 /**
- * Connections that go silent for good while new ones work, and versions of the configuration that come in quick
- * succession meanwhile. Drawn from a row of their own, beside the other faults, so that those of a seed stay what they were.
+ * Soak faults in which existing connections go permanently silent while new ones work, with rapid configuration changes
+ * meanwhile.
  */
 import {routesFor} from "../leased/platform.js"
 import {pick, seededRandom} from "../utils/random.js"
-import {planRow, type PlannedFaultOf} from "./fault-row.js"
+import {planFaultsOf, type PlannedFaultOf} from "./fault-plan.js"
 import type {LeasedWorld} from "./leased-faults.js"
 import {sleep} from "../utils/sleep.js"
 
@@ -20,21 +20,18 @@
 export type PlannedConnectionFault = PlannedFaultOf<ConnectionFault>
 
 const PLAN_SEED = 3_000_017
-/** Between two of them at most: four times as long as between the other faults. */
-const LONGEST_PAUSE_MS = 5_000
-const MOST_VERSIONS = 4
-/** Between two versions at most; watches are answered within some milliseconds, or a few hundred when the store is slow. */
-const LONGEST_VERSION_PAUSE_MS = 300
+const MAX_PAUSE_MS = 5_000
+const MAX_VERSIONS = 4
+const MAX_VERSION_PAUSE_MS = 300
 
-/** Draws so many faults. */
 export const planConnectionFaults = (seed: number, count: number) =>
-	planRow(seed + PLAN_SEED, CONNECTION_FAULTS, count, LONGEST_PAUSE_MS)
+	planFaultsOf(seed + PLAN_SEED, CONNECTION_FAULTS, count, MAX_PAUSE_MS)
 
 export const isConnectionFault = (fault: {
 	readonly name: string
 }): fault is PlannedConnectionFault => (CONNECTION_FAULTS as readonly string[]).includes(fault.name)
 
-/** A version with one queue more, which no other version has. */
+/** Writes the next configuration version, which alone has its probe queue, and returns its number. */
 export function putVersion(world: LeasedWorld): number {
 	world.configVersion += 1
 	const version = world.configVersion
@@ -42,18 +39,18 @@
 	return version
 }
 
-/** Calls under it are refused by whoever does not have the version. */
+/** Path prefix of the probe queue. An instance without the version answers it with 404. */
 export const probePrefixOf = (version: number) => `/version-${version}/`
 
 async function putVersions(world: LeasedWorld, random: () => number) {
-	const count = 2 + Math.floor(random() * (MOST_VERSIONS - 1))
+	const count = 2 + Math.floor(random() * (MAX_VERSIONS - 1))
 	for (let at = 0; at < count; at++) {
 		putVersion(world)
-		await sleep(random() * LONGEST_VERSION_PAUSE_MS)
+		await sleep(random() * MAX_VERSION_PAUSE_MS)
 	}
 }
 
-/** Brings about one fault; says which it was. Silent connections stay silent. */
+/** Injects one fault and reports its name. Silenced connections stay silent. */
 export async function runConnectionFault(
 	world: LeasedWorld,
 	{name, seed}: PlannedConnectionFault,
@@ -73,7 +70,7 @@
 			return pick(executorLinks, random).hush()
 		case "silence all connections":
 			for (const link of [...storeLinks, ...executorLinks]) link.hush()
-			world.hushPeers()
+			world.silencePeers()
 			break
 		case "versions in quick succession":
 			break
--- a/packages/standins/src/soak/leased-faults.ts
+++ b/packages/standins/src/soak/leased-faults.ts
@@ -1,6 +1,6 @@
 /**
- * Faults of the users' platform, brought about from outside the program: links that are cut, slow or reset,
- * signals, a store and executors that misbehave. Each begins, lasts, and is mended; they overlap.
+ * Faults of the platform soak, injected from outside the program: links that are cut, slow or reset, signals, and a
+ * failing store or executors. Faults overlap.
  */
 import type {Edge, EdgeFleet} from "../leased/edges.js"
 import type {HostedExecutor, LeasedPlatform} from "../leased/platform.js"
@@ -36,17 +36,18 @@
 export interface LeasedWorld {
 	readonly platform: LeasedPlatform
 	readonly fleet: EdgeFleet
-	/** Links to executors by failure domain and number, and of instances to the store by name. */
+	/** Links to executors, by failure domain and number. */
 	readonly executorLinks: ReadonlyMap<string, Link>
+	/** Links to the store, by instance name. */
 	readonly storeLinks: ReadonlyMap<string, Link>
 	readonly random: () => number
-	/** What lasts, lasts so long, in milliseconds. */
-	readonly lastsMs: number
-	/** Whether a fault that ends an instance is over only when its next life is ready. */
+	/** Duration of a lasting fault. */
+	readonly durationMs: number
+	/** Whether a fault that ends an instance waits until the restarted instance is ready. */
 	readonly waitsForReadiness: boolean
-	/** Lets all connections between instances go silent, where they have links. */
-	readonly hushPeers: () => void
-	/** The number of the newest configuration. */
+	/** Silences all connections between instances that run through links. */
+	readonly silencePeers: () => void
+	/** Version of the newest configuration. */
 	configVersion: number
 }
 
@@ -55,42 +56,42 @@
 const LATE_MS = 2_500
 const LATE_STARTS = 3
 const LOST_WRITES = 4
-/** Of all orders to all executors; they are carried out within this. */
+/** Share of all orders that get no answer and are carried out late. */
 const UNANSWERED_SHARE = 0.3
 const UNANSWERED_LATE_MS = 4_000
-/** How much longer than others this fault lasts: handovers are to fall into it. */
-const UNANSWERED_LASTS = 4
+/** Duration factor, so that handovers happen during the fault. */
+const UNANSWERED_DURATION_FACTOR = 4
 
-/** The newest life of each instance, by name. */
+/** Newest process of each instance, by name. */
 export const newestEdges = ({edges}: EdgeFleet): ReadonlyMap<string, Edge> =>
 	new Map(edges.map(edge => [edge.name, edge]))
 
-/** The living instances: one for each name, the newest life of it. */
-export function livingEdges(fleet: EdgeFleet): readonly Edge[] {
+/** Returns the newest process of each instance that is still running. */
+export function runningEdges(fleet: EdgeFleet): readonly Edge[] {
 	return [...newestEdges(fleet).values()].filter(
 		({child}) => child.exitCode === null && !child.signalCode,
 	)
 }
 
-/** Instances that a fault has begun to end: another may hasten that, but only one life follows. */
-const replaced = new WeakSet<Edge>()
+/** Processes that are being replaced. A second fault may signal them again but starts no second replacement. */
+const replacing = new WeakSet<Edge>()
 
-/** Ends an instance's life and begins its next. */
+/** Ends an instance with the signal and restarts it once. */
 export async function replace(
 	{fleet, waitsForReadiness}: LeasedWorld,
 	edge: Edge,
 	signal: "SIGKILL" | "SIGTERM",
 ) {
 	edge.child.kill(signal)
-	if (replaced.has(edge)) return
-	replaced.add(edge)
+	if (replacing.has(edge)) return
+	replacing.add(edge)
 	await edge.exited
 	await (waitsForReadiness ? fleet.restart(edge) : fleet.relaunch(edge))
 }
 
-async function whileLasting({lastsMs}: LeasedWorld, begin: () => void, end: () => void) {
+async function applyFor({durationMs}: LeasedWorld, begin: () => void, end: () => void) {
 	begin()
-	await sleep(lastsMs)
+	await sleep(durationMs)
 	end()
 }
 
@@ -101,11 +102,11 @@
 		case "store busy": {
 			const how = name === "store down" ? "silent" : "busy"
 			const begin = () => void (faults.down = how)
-			return whileLasting(world, begin, () => void (faults.down = undefined))
+			return applyFor(world, begin, () => void (faults.down = undefined))
 		}
 		case "store slow": {
 			const begin = () => void (faults.slowMs = SLOW_STORE_MS)
-			return whileLasting(world, begin, () => void (faults.slowMs = undefined))
+			return applyFor(world, begin, () => void (faults.slowMs = undefined))
 		}
 		case "store loses answers":
 			return void (faults.loseAnswers = LOST_WRITES)
@@ -123,20 +124,20 @@
 			return void (faults.lateStarts = {count: LATE_STARTS, delayMs: LATE_MS})
 		case "executor fails all": {
 			const begin = () => void (faults.failAll = true)
-			return whileLasting(world, begin, () => void (faults.failAll = false))
+			return applyFor(world, begin, () => void (faults.failAll = false))
 		}
 		default: {
 			const begin = () => void (faults.hang = true)
-			return whileLasting(world, begin, () => void (faults.hang = false))
+			return applyFor(world, begin, () => void (faults.hang = false))
 		}
 	}
 }
 
-async function leaveUnanswered({platform, random, lastsMs}: LeasedWorld) {
+async function leaveUnanswered({platform, random, durationMs}: LeasedWorld) {
 	const lateOrders = () =>
 		random() < UNANSWERED_SHARE ? LATE_MS + random() * UNANSWERED_LATE_MS : undefined
 	for (const {executor} of platform.executors) executor.faults.lateOrders = lateOrders
-	await sleep(lastsMs * UNANSWERED_LASTS)
+	await sleep(durationMs * UNANSWERED_DURATION_FACTOR)
 	for (const {executor} of platform.executors) executor.faults.lateOrders = undefined
 }
 
@@ -147,17 +148,17 @@
 		else if (name === "slow executor link") link.delay(SLOW_LINK_MS)
 		else link.cut()
 	}
-	return whileLasting(world, begin, () => link.mend())
+	return applyFor(world, begin, () => link.mend())
 }
 
-/** Brings about one fault and mends it; says which it was and where. */
+/** Injects one fault, reports its name and place, and resolves once it is removed. */
 export async function runLeasedFault(
 	world: LeasedWorld,
 	name: LeasedFault,
 	onFault: (text: string) => void,
 ): Promise<void> {
 	const {platform, fleet, random, executorLinks, storeLinks} = world
-	const living = livingEdges(fleet)
+	const living = runningEdges(fleet)
 	const edge = pick(living, random)
 	const hosted = pick(platform.executors, random)
 	const executorLink = pick([...executorLinks.values()], random)
@@ -172,7 +173,7 @@
 			return replace(world, edge, name === "kill instance" ? "SIGKILL" : "SIGTERM")
 		case "freeze instance":
 			if (!edge) return
-			return whileLasting(
+			return applyFor(
 				world,
 				() => void edge.child.kill("SIGSTOP"),
 				() => void edge.child.kill("SIGCONT"),
--- a/packages/standins/src/soak/leased-soak.ts
+++ b/packages/standins/src/soak/leased-soak.ts
@@ -1,13 +1,13 @@
 /**
- * A soak of the program on the stand-in of the users' platform: callers come and come back while faults
- * begin, overlap and are mended; then the promises are judged by what executors and callers saw.
+ * The platform soak: the program runs on the platform stand-in under overlapping faults, then the contract is checked
+ * from the records of executors and callers.
  */
 import {openLink, type Link} from "../fleet/link.js"
 import {startEdges, type EdgeFleet} from "../leased/edges.js"
 import {startLeasedPlatform, type LeasedPlatform} from "../leased/platform.js"
 import {seededRandom} from "../utils/random.js"
 import {planConnectionFaults, runConnectionFault} from "./connection-faults.js"
-import {runLeasedCallers, untilEnded, type CalledJob} from "./leased-callers.js"
+import {runLeasedCallers, waitUntilEnded, type CalledJob} from "./leased-callers.js"
 import {violationsOf} from "./leased-verdict.js"
 import {checkOperators, planMachineFaults, runMachineFault, SUSPENDABLE} from "./machine-faults.js"
 import {LEASED_FAULTS, runLeasedFault, type LeasedFault, type LeasedWorld} from "./leased-faults.js"
@@ -16,16 +16,16 @@
 export interface LeasedSoakPlan {
 	readonly seed: number
 	readonly faults: readonly LeasedFault[]
-	/** How many faults are brought about in all. */
+	/** Number of faults, without connection and machine faults. */
 	readonly count: number
 	readonly faultMs: number
 	readonly failureDomains: readonly string[]
 	readonly instancesPerDomain: number
 	readonly executorsPerDomain: number
 	readonly callers: number
-	/** Of connections and versions, beside the others. */
+	/** Number of connection faults. */
 	readonly connectionFaults: number
-	/** Of failure domains that are emptied, executors and machines, beside the others. */
+	/** Number of machine faults. */
 	readonly machineFaults: number
 	readonly onFault: (text: string) => void
 }
@@ -53,9 +53,9 @@
 	readonly violations: readonly string[]
 }
 
-/** Between two faults at most; shorter than a fault, so that they overlap. */
+/** Longest pause between two faults, shorter than a fault so that faults overlap. */
 const PAUSE_MS = 1_200
-/** Accepted jobs end within this once all is mended. */
+/** Time limit for accepted jobs to end after the last fault. */
 const FINISH_MS = 20_000
 
 const portOf = (address: string) => Number(address.split(":")[1])
@@ -83,28 +83,28 @@
 		storeAddressOf,
 		nodeArgs: ["--import", SUSPENDABLE],
 	})
-	const {faultMs: lastsMs} = plan
+	const {faultMs: durationMs} = plan
 	const links = {executorLinks, storeLinks}
 	return {
 		platform,
 		fleet,
 		...links,
 		random,
-		lastsMs,
-		hushPeers: () => undefined,
+		durationMs,
+		silencePeers: () => undefined,
 		waitsForReadiness: true,
 		configVersion: 1,
 	}
 }
 
 async function runFaults(world: LeasedWorld, {faults, count, onFault}: LeasedSoakPlan) {
-	const underWay: Promise<void>[] = []
+	const pending: Promise<void>[] = []
 	for (let at = 0; at < count; at++) {
 		const name = faults[Math.floor(world.random() * faults.length)] as LeasedFault
-		underWay.push(runLeasedFault(world, name, onFault))
+		pending.push(runLeasedFault(world, name, onFault))
 		await sleep(world.random() * PAUSE_MS)
 	}
-	await Promise.all(underWay)
+	await Promise.all(pending)
 }
 
 async function runConnectionFaults(
@@ -123,15 +123,15 @@
 	{seed, machineFaults, onFault}: LeasedSoakPlan,
 ) {
 	const began = performance.now()
-	const underWay: Promise<void>[] = []
+	const pending: Promise<void>[] = []
 	for (const fault of planMachineFaults(seed, machineFaults)) {
 		await sleep(began + fault.atMs - performance.now())
-		underWay.push(runMachineFault(world, fault, onFault))
+		pending.push(runMachineFault(world, fault, onFault))
 	}
-	await Promise.all(underWay)
+	await Promise.all(pending)
 }
 
-function judge(
+function createVerdict(
 	jobs: readonly CalledJob[],
 	platform: LeasedPlatform,
 	behind: readonly string[],
@@ -157,7 +157,7 @@
 	await platform.close()
 }
 
-/** Runs one soak and returns its verdict; everything that it started is ended in any case. */
+/** Runs one soak and returns its verdict. All started processes and servers are always closed. */
 export async function runLeasedSoak(changes: Partial<LeasedSoakPlan> = {}): Promise<LeasedVerdict> {
 	const plan = {...LEASED_SOAK_DEFAULTS, ...changes}
 	const random = seededRandom(plan.seed)
@@ -176,12 +176,12 @@
 			random: seededRandom(plan.seed + 1_000_003),
 			isNeeded: () => isNeeded,
 			callers: plan.callers,
-			shareKept: 0.4,
-			shareCancelled: 0.1,
+			keptShare: 0.4,
+			cancelledShare: 0.1,
 		})
 		const behind = await checked
-		await untilEnded(world.fleet, jobs, FINISH_MS)
-		return judge(jobs, world.platform, behind)
+		await waitUntilEnded(world.fleet, jobs, FINISH_MS)
+		return createVerdict(jobs, world.platform, behind)
 	} finally {
 		await closeWorld(world)
 	}
--- a/packages/standins/src/soak/machine-faults.ts
+++ b/packages/standins/src/soak/machine-faults.ts
@@ -1,12 +1,12 @@
 /**
- * Failure domains that operators empty, executors whose room shrinks or that a task crashes, machines that are suspended:
- * a row of faults of their own, beside the others.
+ * Soak faults of machines and operators: evacuated failure domains, executors that lose capacity or are crashed by a
+ * task, and suspended instances.
  */
 import {handIn} from "../leased/edges.js"
 import {pick, seededRandom} from "../utils/random.js"
 import {checkConfiguration} from "./configuration-check.js"
-import {planRow, type PlannedFaultOf} from "./fault-row.js"
-import {livingEdges, type LeasedWorld} from "./leased-faults.js"
+import {planFaultsOf, type PlannedFaultOf} from "./fault-plan.js"
+import {runningEdges, type LeasedWorld} from "./leased-faults.js"
 import {sleep} from "../utils/sleep.js"
 
 export const MACHINE_FAULTS = Object.freeze([
@@ -18,58 +18,57 @@
 export type MachineFault = (typeof MACHINE_FAULTS)[number]
 export type PlannedMachineFault = PlannedFaultOf<MachineFault>
 
-/** Loaded into instances that may be suspended, before the program. */
+/** Module that instances preload so that they can be suspended. */
 export const SUSPENDABLE = new URL("../leased/suspendable.js", import.meta.url).href
 
 const PLAN_SEED = 4_000_037
-const LONGEST_PAUSE_MS = 5_000
-const SHORTEST_MS = 500
-const LONGEST_MS = 4_000
-/** The room that is left; one task of the callers fits. */
+const MAX_PAUSE_MS = 5_000
+const MIN_DURATION_MS = 500
+const MAX_DURATION_MS = 4_000
+/** Remaining CPU of a shrunk executor, enough for one task of the callers. */
 const SHRUNK_CPU = 30_000
-const ROOM_CPU = 64_000
-const SHARE_SHRUNK = 0.4
-const MOST_SUSPENSIONS = 3
-const SUSPENSION_APART_MS = 900
+const FULL_CPU = 64_000
+const SHRUNK_SHARE = 0.4
+const MAX_SUSPENSIONS = 3
+const SUSPENSION_INTERVAL_MS = 900
 const CRASHING_JOBS = 2
-/** From the contract: two more starts after three executors have crashed. */
-const MOST_CRASHING_STARTS = 5
-/** A change is heard within this once all is mended; the users' bound is 5 s. */
-const HEARD_MS = 2_500
+/** Contract limit: three crashed executors, then two more starts. */
+const MAX_CRASHING_STARTS = 5
+const PROPAGATION_MS = 2_500
 const PROBES = 6
 
-const lasting = (random: () => number) => SHORTEST_MS + random() * (LONGEST_MS - SHORTEST_MS)
+const drawDurationMs = (random: () => number) =>
+	MIN_DURATION_MS + random() * (MAX_DURATION_MS - MIN_DURATION_MS)
 const evacuationKey = (domain: string) => `op/evacuate/${domain}`
 const domainsOf = ({platform}: LeasedWorld) => [
 	...new Set(platform.executors.map(({failureDomain}) => failureDomain)),
 ]
 
-/** Draws so many faults. */
 export const planMachineFaults = (seed: number, count: number) =>
-	planRow(seed + PLAN_SEED, MACHINE_FAULTS, count, LONGEST_PAUSE_MS)
+	planFaultsOf(seed + PLAN_SEED, MACHINE_FAULTS, count, MAX_PAUSE_MS)
 
 export const isMachineFault = (fault: {readonly name: string}): fault is PlannedMachineFault =>
 	(MACHINE_FAULTS as readonly string[]).includes(fault.name)
 
-async function emptyDomain({platform}: LeasedWorld, domain: string, random: () => number) {
+async function evacuateDomain({platform}: LeasedWorld, domain: string, random: () => number) {
 	platform.store.write(evacuationKey(domain), {})
-	await sleep(lasting(random))
+	await sleep(drawDurationMs(random))
 	platform.store.remove(evacuationKey(domain))
 }
 
-async function shrink({platform}: LeasedWorld, random: () => number) {
-	const shrunk = platform.executors.filter(() => random() < SHARE_SHRUNK)
+async function shrinkExecutors({platform}: LeasedWorld, random: () => number) {
+	const shrunk = platform.executors.filter(() => random() < SHRUNK_SHARE)
 	for (const hosted of shrunk) platform.resize(hosted, SHRUNK_CPU)
-	await sleep(lasting(random))
-	for (const hosted of shrunk) platform.resize(hosted, ROOM_CPU)
+	await sleep(drawDurationMs(random))
+	for (const hosted of shrunk) platform.resize(hosted, FULL_CPU)
 }
 
-async function suspend(world: LeasedWorld, random: () => number) {
-	const edge = pick(livingEdges(world.fleet), random)
-	const times = 1 + Math.floor(random() * MOST_SUSPENSIONS)
+async function suspendInstance(world: LeasedWorld, random: () => number) {
+	const edge = pick(runningEdges(world.fleet), random)
+	const times = 1 + Math.floor(random() * MAX_SUSPENSIONS)
 	for (let at = 0; at < times; at++) {
 		edge?.child.kill("SIGUSR2")
-		await sleep(SUSPENSION_APART_MS)
+		await sleep(SUSPENSION_INTERVAL_MS)
 	}
 }
 
@@ -79,13 +78,13 @@
 async function crashExecutors(world: LeasedWorld, seed: number, random: () => number) {
 	const spec = {workMs: 300, crashes: true}
 	const calls = Array.from({length: CRASHING_JOBS}, (_, at) => {
-		const edge = pick(livingEdges(world.fleet), random)
+		const edge = pick(runningEdges(world.fleet), random)
 		return edge && handIn(edge, idOf(seed, at), {spec}).catch(() => undefined)
 	})
 	await Promise.all(calls)
 }
 
-/** Brings about one fault and mends it; says which it was. */
+/** Injects one fault, reports its name and resolves once it is removed. */
 export async function runMachineFault(
 	world: LeasedWorld,
 	{name, seed}: PlannedMachineFault,
@@ -95,17 +94,20 @@
 	onFault(name)
 	switch (name) {
 		case "empty failure domain":
-			return emptyDomain(world, pick(domainsOf(world), random), random)
+			return evacuateDomain(world, pick(domainsOf(world), random), random)
 		case "shrink executors":
-			return shrink(world, random)
+			return shrinkExecutors(world, random)
 		case "suspend instance":
-			return suspend(world, random)
+			return suspendInstance(world, random)
 		case "tasks that crash executors":
 			return crashExecutors(world, seed, random)
 	}
 }
 
-/** What operators write is in force once all is mended, and no task was started too often. */
+/**
+ * Checks, after all faults, that operators' changes take effect and that no task exceeded its start limit. Returns the
+ * violations.
+ */
 export async function checkOperators(
 	world: LeasedWorld,
 	seed: number,
@@ -114,11 +116,11 @@
 	const behind = await checkConfiguration(world)
 	if (machineFaults === 0) return behind
 	const late = await checkEvacuation(world)
-	return [...behind, ...late, ...crashedTooOften(world, planMachineFaults(seed, machineFaults))]
+	return [...behind, ...late, ...checkCrashingStarts(world, planMachineFaults(seed, machineFaults))]
 }
 
-/** Tasks that crash executors and were started more often than the contract allows. */
-function crashedTooOften(
+/** Returns a violation for each crashing task that was started more often than the contract allows. */
+function checkCrashingStarts(
 	{platform}: LeasedWorld,
 	faults: readonly PlannedMachineFault[],
 ): readonly string[] {
@@ -127,11 +129,11 @@
 		Array.from({length: CRASHING_JOBS}, (_, at) => `${idOf(seed, at)}.0.0.0`),
 	)
 	return tasks
-		.filter(task => platform.startsOf(task) > MOST_CRASHING_STARTS)
+		.filter(task => platform.startsOf(task) > MAX_CRASHING_STARTS)
 		.map(task => `BUDGET: ${task} was started ${platform.startsOf(task)} times`)
 }
 
-/** Once all is mended, a domain that is emptied gets nothing new, whoever is asked. */
+/** Checks that an evacuated domain gets no new starts, whichever instance receives the job. */
 async function checkEvacuation(world: LeasedWorld): Promise<readonly string[]> {
 	const {platform} = world
 	const [domain = ""] = domainsOf(world)
@@ -140,9 +142,9 @@
 			.filter(({failureDomain}) => failureDomain === domain)
 			.reduce((sum, {executor}) => sum + executor.starts, 0)
 	platform.store.write(evacuationKey(domain), {})
-	await sleep(HEARD_MS)
+	await sleep(PROPAGATION_MS)
 	const before = startsThere()
-	const edges = livingEdges(world.fleet)
+	const edges = runningEdges(world.fleet)
 	const probes = Array.from({length: PROBES}, (_, at) => {
 		const edge = edges[at % edges.length]
 		return edge && handIn(edge, idOf(1, at + CRASHING_JOBS)).catch(() => undefined)
@@ -150,5 +152,5 @@
 	await Promise.all(probes)
 	const later = startsThere() - before
 	platform.store.remove(evacuationKey(domain))
-	return later > 0 ? [`EVAC: ${later} starts in ${domain} after ${HEARD_MS} ms`] : []
+	return later > 0 ? [`EVAC: ${later} starts in ${domain} after ${PROPAGATION_MS} ms`] : []
 }
--- a/packages/standins/src/soak/rough-record.ts
+++ b/packages/standins/src/soak/rough-record.ts
@@ -1,5 +1,5 @@
 /**
- * What a run leaves behind so that a violation can be traced: one folder a run, JSON lines.
+ * Saves the records of a rough soak run as JSON lines in a folder of its own, so that a violation can be traced.
  */
 import {mkdirSync, writeFileSync} from "node:fs"
 import {join} from "node:path"
@@ -7,12 +7,12 @@
 
 export type RecordLine = Readonly<Record<string, unknown>>
 
-export interface KeptRun {
+export interface RunRecords {
 	readonly verdict: RecordLine & {readonly seed: number}
-	/** Faults as they began and ended. */
+	/** Start and end of each fault. */
 	readonly faults: readonly RecordLine[]
-	/** What executors and the store saw. */
-	readonly judged: readonly RecordLine[]
+	/** Records of the executors and the store. */
+	readonly platformRecords: readonly RecordLine[]
 	readonly jobs: readonly object[]
 	readonly edges: readonly Edge[]
 }
@@ -20,13 +20,16 @@
 const toLines = (lines: readonly object[]) =>
 	lines.map(line => `${JSON.stringify(line)}\n`).join("")
 
-/** Writes a run's lines into a folder of its own, one file for each life of an instance. */
-export function keepRun(folder: string, {verdict, faults, judged, jobs, edges}: KeptRun): string {
+/** Writes a run's records, one log file per instance process, and returns the folder's path. */
+export function saveRun(
+	folder: string,
+	{verdict, faults, platformRecords, jobs, edges}: RunRecords,
+): string {
 	const path = join(folder, `seed-${verdict.seed}-${new Date().toISOString().replaceAll(":", "")}`)
 	mkdirSync(path, {recursive: true})
 	writeFileSync(join(path, "verdict.json"), JSON.stringify(verdict, undefined, "\t"))
 	writeFileSync(join(path, "faults.jsonl"), toLines(faults))
-	writeFileSync(join(path, "judge.jsonl"), toLines(judged))
+	writeFileSync(join(path, "judge.jsonl"), toLines(platformRecords))
 	writeFileSync(join(path, "jobs.jsonl"), toLines(jobs))
 	const lives = new Map<string, number>()
 	for (const {name, lines} of edges) {
--- a/packages/standins/src/soak/rough-soak.ts
+++ b/packages/standins/src/soak/rough-soak.ts
@@ -1,11 +1,11 @@
 /**
- * A rough soak of the program on the stand-in of the users' platform: many jobs as long as a takeover, a failure
- * domain short of room, callers that come back, and faults between instances and of whole failure domains.
+ * The rough soak: the program runs on the platform stand-in with a failure domain short of executors, jobs as long as a
+ * takeover, resubmitting callers, and faults between instances and of whole failure domains.
  */
 import {monitorEventLoopDelay} from "node:perf_hooks"
 import {isReady} from "../leased/edges.js"
 import {seededRandom} from "../utils/random.js"
-import {untilEnded} from "./leased-callers.js"
+import {waitUntilEnded} from "./leased-callers.js"
 import {
 	isConnectionFault,
 	planConnectionFaults,
@@ -23,32 +23,32 @@
 import {violationsOf} from "./leased-verdict.js"
 import {runRoughCallers, type ReturnedJob} from "./rough-callers.js"
 import {runRoughFault} from "./rough-faults.js"
-import {keepRun, type RecordLine} from "./rough-record.js"
+import {saveRun, type RecordLine} from "./rough-record.js"
 import {isRoughFault, planFaults, type PlannedFault} from "./rough-schedule.js"
 import {closeRoughWorld, startRoughWorld, type RoughWorld} from "./rough-world.js"
 import {sleep} from "../utils/sleep.js"
 
 export interface RoughSoakPlan {
 	readonly seed: number
-	/** How many faults are brought about in all. */
+	/** Number of faults, without connection and machine faults. */
 	readonly count: number
-	/** Kinds of faults; all when there are none. */
+	/** Names of the faults to draw from; all when empty. */
 	readonly faults: readonly string[]
 	readonly domains: number
 	readonly instancesPerDomain: number
 	readonly executorsPerDomain: number
 	readonly callers: number
-	/** Of connections and versions, beside the others. */
+	/** Number of connection faults. */
 	readonly connectionFaults: number
-	/** Of failure domains that are emptied, executors and machines, beside the others. */
+	/** Number of machine faults. */
 	readonly machineFaults: number
-	/** Of callers that close their connection when they stop waiting. */
+	/** Share of jobs whose caller closes the connection when it stops waiting. */
 	readonly shareClosing: number
-	/** Another build of the program. */
+	/** Path of another build's program to run instead. */
 	readonly program: string | undefined
-	/** Runs that broke a promise leave their lines in a folder here. */
+	/** Folder for the records of runs with violations. */
 	readonly keepIn: string | undefined
-	/** Runs that broke none leave theirs too. */
+	/** Whether the records of runs without violations are saved too. */
 	readonly keepsAll: boolean
 	readonly onFault: (text: string) => void
 }
@@ -75,20 +75,20 @@
 	readonly jobs: number
 	readonly completed: number
 	readonly refused: number
-	/** Jobs that came back while what became of them was open. */
+	/** Jobs that were resubmitted after a try with an unknown outcome. */
 	readonly returned: number
 	readonly open: number
-	/** Instances that were not ready some time after the last fault. */
+	/** Instances that did not become ready in time after the last fault. */
 	readonly unready: readonly string[]
-	/** The longest standstill of the soak itself: executors and links are late by as much. */
+	/** Longest event-loop delay of the soak process, which delays executors and links too. */
 	readonly lagMs: number
 	readonly violations: readonly string[]
-	/** Where the run's lines are. */
+	/** Path of the saved records. */
 	readonly kept: string | undefined
 }
 
-const SHARE_KEPT = 0.05
-/** All is mended, and every instance ready, within this after the last fault. */
+const KEPT_SHARE = 0.05
+/** Time limit after the last fault for instances to be ready, and for accepted jobs to end. */
 const FINISH_MS = 30_000
 const READY_POLL_MS = 200
 const LAG_RESOLUTION_MS = 5
@@ -101,20 +101,20 @@
 async function runFault(
 	world: RoughWorld,
 	fault: PlannedFault | PlannedConnectionFault | PlannedMachineFault,
-	note: (text: string) => void,
+	report: (text: string) => void,
 ) {
-	if (isConnectionFault(fault)) return runConnectionFault(world, fault, note)
-	if (isMachineFault(fault)) return runMachineFault(world, fault, note)
+	if (isConnectionFault(fault)) return runConnectionFault(world, fault, report)
+	if (isMachineFault(fault)) return runMachineFault(world, fault, report)
 	const random = seededRandom(fault.seed)
-	if (isRoughFault(fault.name)) return runRoughFault(world, fault.name, random, note)
-	const lastsMs = 500 + random() * 2_000
+	if (isRoughFault(fault.name)) return runRoughFault(world, fault.name, random, report)
+	const durationMs = 500 + random() * 2_000
 	const before = world.configVersion
-	const own = {...world, random, lastsMs}
-	await runLeasedFault(own, fault.name, note)
+	const own = {...world, random, durationMs}
+	await runLeasedFault(own, fault.name, report)
 	world.configVersion += own.configVersion - before
 }
 
-/** All rows of faults, in the order of their times. */
+/** Returns all planned faults in the order of time. */
 function planAll({seed, count, faults, connectionFaults, machineFaults}: RoughSoakPlan) {
 	const others = planFaults(seed, count, faults)
 	const ofConnections = planConnectionFaults(seed, connectionFaults)
@@ -124,23 +124,23 @@
 
 async function runFaults(world: RoughWorld, plan: RoughSoakPlan, faults: RecordLine[]) {
 	const began = performance.now()
-	const underWay: Promise<void>[] = []
+	const pending: Promise<void>[] = []
 	for (const fault of planAll(plan)) {
 		await sleep(began + fault.atMs - performance.now())
-		const number = underWay.length
+		const number = pending.length
 		const note = (what: string) => {
 			faults.push(stamp({kind: "begins", number, what}))
 			plan.onFault(what)
 		}
 		const over = () => void faults.push(stamp({kind: "ends", number}))
-		underWay.push(runFault(world, fault, note).finally(over))
+		pending.push(runFault(world, fault, note).finally(over))
 	}
-	await Promise.all(underWay)
+	await Promise.all(pending)
 	for (const {child} of world.fleet.edges) child.kill("SIGCONT")
 }
 
-/** Names the instances that are not ready at the end. */
-async function untilAllReady({fleet}: RoughWorld): Promise<readonly string[]> {
+/** Waits until all instances are ready. Returns the names of those that are not in time. */
+async function waitUntilReady({fleet}: RoughWorld): Promise<readonly string[]> {
 	const until = performance.now() + FINISH_MS
 	for (;;) {
 		const edges = [...newestEdges(fleet).values()]
@@ -163,15 +163,15 @@
 	}
 }
 
-/** Runs one soak and returns its verdict; everything that it started is ended in any case. */
+/** Runs one soak and returns its verdict. All started processes and servers are always closed. */
 export async function runRoughSoak(changes: Partial<RoughSoakPlan> = {}): Promise<RoughVerdict> {
 	const plan = {...ROUGH_SOAK_DEFAULTS, ...changes}
 	const {seed, callers, keepIn} = plan
-	const judged: RecordLine[] = []
+	const platformRecords: RecordLine[] = []
 	const faults: RecordLine[] = []
 	const failureDomains = Array.from({length: plan.domains}, (_, at) => `zone-${at + 1}`)
 	const random = seededRandom(seed + WORLD_SEED)
-	const record = (line: RecordLine) => void judged.push(line)
+	const record = (line: RecordLine) => void platformRecords.push(line)
 	const world = await startRoughWorld({...plan, failureDomains, random, record})
 	const lag = monitorEventLoopDelay({resolution: LAG_RESOLUTION_MS})
 	lag.enable()
@@ -185,18 +185,20 @@
 			callers,
 			shareClosing: plan.shareClosing,
 			isNeeded: () => isNeeded,
-			shareKept: SHARE_KEPT,
+			keptShare: KEPT_SHARE,
 		})
 		const behind = await ended
-		const unready = await untilAllReady(world)
-		await untilEnded(world.fleet, jobs, FINISH_MS)
+		const unready = await waitUntilReady(world)
+		await waitUntilEnded(world.fleet, jobs, FINISH_MS)
 		const broken = jobs.flatMap(job => violationsOf(job, world.platform))
 		const violations = [...world.platform.violations, ...behind, ...broken]
 		const lagMs = Math.round(lag.max / NS_PER_MS)
 		const verdict = {seed, ...countJobs(jobs), unready, lagMs, violations}
 		const {edges} = world.fleet
-		const isToKeep = keepIn !== undefined && (plan.keepsAll || violations.length > 0)
-		const kept = isToKeep ? keepRun(keepIn, {verdict, faults, judged, jobs, edges}) : undefined
+		const shouldSave = keepIn !== undefined && (plan.keepsAll || violations.length > 0)
+		const kept = shouldSave
+			? saveRun(keepIn, {verdict, faults, platformRecords, jobs, edges})
+			: undefined
 		return {...verdict, kept}
 	} finally {
 		lag.disable()
--- a/packages/standins/test/leased.test.ts
+++ b/packages/standins/test/leased.test.ts
@@ -1,5 +1,5 @@
 /**
- * The program on the users' platform, as separate processes against a stand-in of it.
+ * Jobs on real processes against the platform stand-in.
  */
 import {handIn, isReady} from "@cottonwood/standins"
 import type {Edge, EdgeFleet, LeasedPlatform} from "@cottonwood/standins"
@@ -8,10 +8,10 @@
 
 const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms))
 
-/** A line is written within 100 ms; the work that is under way meanwhile takes 800. */
+/** Time limit for a log line, shorter than the 800 ms of the running tasks. */
 const HEARD_WITHIN_MS = 500
 
-/** Waits until an instance has written a line of a kind; fails if it does not within the time. */
+/** Waits until an instance has logged a line of the kind, and fails after `withinMs`. */
 async function untilSaid(edge: Edge, kind: string, withinMs: number) {
 	const until = performance.now() + withinMs
 	const isSaid = () => edge.lines.some(line => line["kind"] === kind)
@@ -37,7 +37,7 @@
 	const edgeOf = (name: string) => world.edgeOf(name)
 	const anyEdge = (at: number) => fleet.edges[at % fleet.edges.length]!
 	const placerOf = (domain: string) => world.placerOf(domain)
-	/** Hands a job in as a caller does: after a true refusal it comes back, for some seconds. */
+	/** Submits a job, and again after each 503, for up to 20 seconds. */
 	async function complete(...[edge, id, options]: Parameters<typeof handIn>) {
 		const until = performance.now() + 20_000
 		for (;;) {
@@ -64,7 +64,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("uses the other domain's room for a job that its own cannot hold", async () => {
+	it("uses the other domain's capacity for a job too large for its own", async () => {
 		const id = newId()
 		const answer = await complete(edgeOf("a-1"), id, {count: 12, spec: {workMs: 400}})
 		expect(answer.status).to.equal(200)
@@ -74,7 +74,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("refuses what it cannot serve, and never runs it", async () => {
+	it("refuses unsupported and malformed jobs and never runs them", async () => {
 		const scheduled = newId()
 		const answer = await handIn(edgeOf("a-1"), scheduled, {body: {times: 3}})
 		expect(answer.status).to.equal(503)
@@ -85,7 +85,7 @@
 		expect(malformed.status).to.equal(400)
 	})
 
-	it("goes on while the store is away", async () => {
+	it("keeps serving while the store is unavailable", async () => {
 		platform.store.faults.down = "silent"
 		const answers = []
 		for (let at = 0; at < 20; at++) {
@@ -107,13 +107,13 @@
 		for (const {status} of answers) expect(status).to.be.oneOf([200, 502, 503])
 		for (let tries = 0; tries < 100 && placerOf("a") !== other.name; tries++) await sleep(100)
 		expect(placerOf("a")).to.equal(other.name)
-		// The callers of lost jobs come back with the same ids.
+		// The callers of lost jobs resubmit the same ids.
 		const again = await Promise.all(early.map(id => complete(other, id, {count: 2})))
 		for (const {status} of again) expect(status).to.equal(200)
 		expect(platform.violations).to.eql([])
 	})
 
-	it("starts a task once though the answers to starts are lost or late", async () => {
+	it("starts a task once when executors carry out starts late", async () => {
 		for (const {executor} of platform.executors)
 			executor.faults.lateStarts = {count: 2, delayMs: 2_000}
 		const ids = Array.from({length: 8}, newId)
@@ -124,7 +124,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("runs elsewhere what a crashed executor had", async () => {
+	it("reruns a crashed executor's tasks elsewhere", async () => {
 		const id = newId()
 		const pending = complete(edgeOf("b-1"), id, {count: 6, spec: {workMs: 500}})
 		await sleep(200)
@@ -145,7 +145,7 @@
 		expect(statuses.filter(state => state === "completed").length).to.be.greaterThan(25)
 	})
 
-	it("stops the tasks of a caller that has left", async () => {
+	it("stops the tasks of a disconnected caller", async () => {
 		const leaving = new AbortController()
 		const id = newId()
 		const pending = handIn(edgeOf("a-2"), id, {
@@ -161,19 +161,19 @@
 		expect(running.every(count => count === 0)).to.equal(true)
 	})
 
-	it("answers what is under way before a planned stop, and is not ready meanwhile", async () => {
+	it("answers running jobs before a planned stop, and is not ready meanwhile", async () => {
 		const edge = edgeOf(placerOf("a"))
 		const pending = handIn(edge, newId(), {count: 2, spec: {workMs: 800}})
 		await sleep(200)
 		edge.child.kill("SIGTERM")
-		// Until it has had processor time to hear of the stop it answers as before: stopped for 110 ms, it said that it was ready.
+		// The instance stays ready until it has handled the signal.
 		await untilSaid(edge, "leaving", HEARD_WITHIN_MS)
 		expect(await isReady(edge)).to.equal(false)
 		expect((await pending).status).to.equal(200)
 		expect(await edge.exited).to.equal(0)
 	})
 
-	it("hands its runs over though executors leave the successor's first orders unanswered", async () => {
+	it("hands its runs over when executors leave the successor's first orders unanswered", async () => {
 		const placer = placerOf("a")
 		const id = newId()
 		for (const {executor} of platform.executors) {
@@ -190,7 +190,7 @@
 		expect(platform.violations).to.eql([])
 	})
 
-	it("serves a new configuration, and refuses a queue that is gone", async () => {
+	it("applies a new configuration and refuses a removed queue", async () => {
 		platform.putConfig(2, {routes: []})
 		await sleep(500)
 		expect((await handIn(edgeOf("a-1"), newId())).status).to.equal(404)
@@ -199,14 +199,14 @@
 		expect((await handIn(edgeOf("b-1"), newId())).status).to.equal(200)
 	})
 
-	it("takes a configuration that was written while history was forgotten", async () => {
+	it("applies a configuration that was written when the store lost its history", async () => {
 		platform.putConfig(2, {routes: []})
 		platform.store.forgetHistory()
 		await sleep(800)
 		expect((await handIn(edgeOf("a-1"), newId())).status).to.equal(404)
 	})
 
-	it("writes a line for each decision, found by the job's id alone", async () => {
+	it("logs each decision under the job's id", async () => {
 		const id = newId()
 		await complete(edgeOf("a-2"), id, {count: 2})
 		await sleep(300)
--- a/packages/standins/test/pair-link.test.ts
+++ b/packages/standins/test/pair-link.test.ts
@@ -1,5 +1,5 @@
 /**
- * Links between two machines on loopback: what a cut holds, loses and delivers late.
+ * Links between two simulated machines on loopback: which data a cut holds back, drops or delivers late.
  */
 import {createPath, openPairLink, type PairLink, type Path} from "@cottonwood/standins"
 import {expect} from "chai"
@@ -17,7 +17,7 @@
 	let link: PairLink
 	let there: Path
 	let back: Path
-	/** What arrived: texts, and "end" for an end. */
+	/** Received texts, with "end" for a closed and "broken" for a failed connection. */
 	let arrived: string[]
 	const nears: Socket[] = []
 
@@ -65,7 +65,7 @@
 		socket.send(text, link.port, HOST, () => socket.close())
 	}
 
-	it("passes what is sent, both ways and as datagrams", async () => {
+	it("passes data in both directions, and datagrams", async () => {
 		const {near, heard} = await open()
 		near.write("one")
 		sendDatagram("two")
@@ -74,7 +74,7 @@
 		expect(heard).to.eql(["answer to one"])
 	})
 
-	it("delivers what a closed connection sent into a cut, its end included, once mended", async () => {
+	it("delivers a closed connection's data and end after a cut is mended", async () => {
 		const {near} = await open()
 		near.write("one")
 		await sleep(50)
@@ -91,7 +91,7 @@
 		expect(arrived).to.eql(["one", "two", "end"])
 	})
 
-	it("lets what goes the other way pass when it is cut one way", async () => {
+	it("passes the other direction when one direction is cut", async () => {
 		const {near, heard} = await open()
 		back.cut("all")
 		near.write("one")
@@ -103,7 +103,7 @@
 		expect(heard).to.eql(["answer to one"])
 	})
 
-	it("breaks connections that held something, when mended so", async () => {
+	it("breaks connections with held data when the cut is mended that way", async () => {
 		const {near, heard} = await open()
 		there.cut("all")
 		near.write("one")
--- a/packages/standins/test/store-turns-away.test.ts
+++ b/packages/standins/test/store-turns-away.test.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's store turns some machines away and serves the others, or says nothing more on a connection that lost an answer.
- * On processes, each with an address of the store of its own.
+ * A store that rejects a single instance or lets a connection go silent, on real processes that each have their own
+ * address of the store.
  */
 import {askJob, handIn, startEdges, startLeasedPlatform, untilPlaced} from "@cottonwood/standins"
 import type {Edge, EdgeFleet, LeasedPlatform} from "@cottonwood/standins"
@@ -9,7 +9,7 @@
 import type {AddressInfo} from "node:net"
 
 const sleep = (ms: number) => new Promise<void>(resolve => setTimeout(resolve, ms))
-/** A registration that is not renewed has lapsed by then, and a placer that was taken for gone would be replaced. */
+/** Long enough for a registration to expire, and for a placer that is considered gone to be replaced. */
 const TURNED_AWAY_MS = 4_500
 const BACK_MS = 2_000
 
@@ -24,7 +24,7 @@
 let serial = 0
 const newId = () => (++serial + 0xaba000).toString(16).padStart(16, "0")
 
-describe("a store that turns a machine away", function () {
+describe("a store that rejects an instance", function () {
 	this.timeout(40_000)
 	const names = [["a-1", "a"] as const, ["a-2", "a"] as const, ["b-1", "b"] as const]
 	let platform: LeasedPlatform
@@ -32,7 +32,7 @@
 	const doors = new Map<string, Server>()
 	const turned = new Map<string, Turn>()
 
-	/** The store's door for one machine. */
+	/** Opens the store's address for one instance. */
 	async function openDoor(name: string) {
 		const door = createServer((req, res) => {
 			const turn = turned.get(name)
@@ -76,7 +76,7 @@
 	}
 
 	for (const [way, turn] of Object.entries(WAYS))
-		it(`${way} is missed by nobody's jobs: a placer goes on, and registers again`, async () => {
+		it(`${way} fails no job: the placer goes on and registers again`, async () => {
 			const {fence, placer} = claimOf("a")
 			turned.set(placer.name, turn)
 			const until = performance.now() + TURNED_AWAY_MS
@@ -84,7 +84,7 @@
 				expect(await callAll()).to.eql([200, 200, 200])
 				await sleep(150)
 			}
-			// It lives, and is heard: nobody has a reason to place in its stead.
+			// The placer's heartbeats still arrive, so no other instance takes over.
 			expect(claimOf("a").fence).to.equal(fence)
 			expect(isMember(placer.name)).to.equal(false)
 			turned.clear()
@@ -94,7 +94,7 @@
 			expect(platform.violations).to.eql([])
 		})
 
-	it("after a lost answer is asked again over another connection", async () => {
+	it("is called again over another connection after a lost answer", async () => {
 		const id = newId()
 		platform.store.faults.loseAnswers = 1
 		const edge = fleet.edges[0] as Edge
